--- a/src/main/java/cairnbridge/adapter/ActionWriter.java
+++ b/src/main/java/cairnbridge/adapter/ActionWriter.java
@@ -2,8 +2,8 @@
 
 import cairnbridge.decision.Host;
 import cairnbridge.decision.Ids.NodeId;
-import cairnbridge.decision.Ids.OpId;
 import cairnbridge.decision.Ids.PeerId;
+import cairnbridge.decision.Ids.RequestId;
 import cairnbridge.decision.Ids.TimerId;
 import cairnbridge.time.Ticks;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -50,7 +50,7 @@
     }
 
     @Override
-    public void push(OpId op, NodeId node, long timeOut, long latestBegin) {
+    public void sendAttempt(RequestId op, NodeId node, long timeOut, long latestBegin) {
         writeAction(
                 "ATTEMPT",
                 () -> {
@@ -61,7 +61,7 @@
     }
 
     @Override
-    public void cancel(OpId op, int push) {
+    public void cancelAttempt(RequestId op, int push) {
         writeAction(
                 "ABORT_ATTEMPT",
                 () -> {
@@ -71,7 +71,7 @@
     }
 
     @Override
-    public void nack(OpId op, long retryAfter) {
+    public void rejectRetryable(RequestId op, long retryAfter) {
         writeAction(
                 "PUSH_BACK",
                 () -> {
@@ -81,12 +81,12 @@
     }
 
     @Override
-    public void deadLetter(OpId op) {
+    public void failPermanently(RequestId op) {
         writeAction("FAIL", () -> out.writeNumber(op.value()));
     }
 
     @Override
-    public void timer(long in, TimerId timer) {
+    public void startTimer(long in, TimerId timer) {
         writeAction(
                 "REMIND",
                 () -> {
@@ -96,12 +96,12 @@
     }
 
     @Override
-    public void probe(NodeId node) {
+    public void checkHealth(NodeId node) {
         writeAction("TEST", () -> out.writeNumber(node.value()));
     }
 
     @Override
-    public void tellPeer(PeerId peer, byte[] body) {
+    public void sendToPeer(PeerId peer, byte[] body) {
         writeAction(
                 "NOTIFY",
                 () -> {
@@ -111,17 +111,17 @@
     }
 
     @Override
-    public void subscribe(boolean on) {
+    public void subscribeToEndpoints(boolean on) {
         writeAction("TAIL", () -> out.writeBoolean(on));
     }
 
     @Override
-    public void fetchRoster() {
+    public void fetchEndpointList() {
         writeAction("LIST_ALL", () -> {});
     }
 
     @Override
-    public void avoids(int nodes) {
+    public void avoidedNodeCountChanged(int nodes) {
         // The wire has no message for it.
     }
 
--- a/src/main/java/cairnbridge/adapter/Adapter.java
+++ b/src/main/java/cairnbridge/adapter/Adapter.java
@@ -6,9 +6,9 @@
 import cairnbridge.config.JsonObject;
 import cairnbridge.config.SettingsReader;
 import cairnbridge.decision.Event;
-import cairnbridge.decision.Learnt;
 import cairnbridge.decision.Router;
 import cairnbridge.decision.Settings;
+import cairnbridge.decision.WarmStartState;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
@@ -141,7 +141,7 @@
         long seed = reader.integer("prng");
         Settings settings = settings(reader.object("params"));
         ActionWriter actions = new ActionWriter(out, id);
-        Router router = new Router(settings, seed, now, actions, Learnt.NOTHING);
+        Router router = new Router(settings, seed, now, actions, WarmStartState.EMPTY);
         instances.put(id, new Instance(router, actions, settings.reportColumns().size()));
     }
 
--- a/src/main/java/cairnbridge/adapter/EndpointTables.java
+++ b/src/main/java/cairnbridge/adapter/EndpointTables.java
@@ -2,9 +2,9 @@
 
 import static cairnbridge.config.SettingsReader.toTicks;
 
-import cairnbridge.decision.Event.Entry;
-import cairnbridge.decision.Event.Scope;
-import cairnbridge.decision.Event.State;
+import cairnbridge.decision.Event.Endpoint;
+import cairnbridge.decision.Event.ListScope;
+import cairnbridge.decision.Event.NodeState;
 import cairnbridge.decision.Ids.CellId;
 import cairnbridge.decision.Ids.MachineKind;
 import cairnbridge.decision.Ids.NodeId;
@@ -20,7 +20,7 @@
     private static final int TABLES = 16;
 
     private final MessageReader reader;
-    private final List<List<Entry>> tables =
+    private final List<List<Endpoint>> tables =
             new ArrayList<>(Collections.nCopies(TABLES, List.of()));
 
     /**
@@ -33,8 +33,8 @@
     }
 
     /** The entries that a list of some scope refers to; a failed list has none. */
-    List<Entry> entries(Scope scope, int table) {
-        if (scope == Scope.FAILED) {
+    List<Endpoint> entries(ListScope scope, int table) {
+        if (scope == ListScope.FAILED) {
             return List.of();
         }
         if (!exists(table)) {
@@ -53,7 +53,7 @@
         if (!exists(table) || reader.nextValue() != JsonToken.START_ARRAY) {
             throw reader.malformed("POOL needs a table from 0 to 15 and its rows");
         }
-        List<Entry> entries = new ArrayList<>();
+        List<Endpoint> entries = new ArrayList<>();
         while (reader.hasNextRow()) {
             reader.beginArray();
             entries.add(entry());
@@ -62,19 +62,19 @@
         tables.set(table, entries);
     }
 
-    private Entry entry() throws IOException {
+    private Endpoint entry() throws IOException {
         CellId cell = new CellId((int) reader.integer("block", 0));
-        State state = state((int) reader.integer("stage-state"));
+        NodeState state = state((int) reader.integer("stage-state"));
         MachineKind kind = new MachineKind((int) reader.integer("sku", 0));
         double size = reader.number("power-hint", 1);
         long started = toTicks(reader.number("ready-at-s", 0));
         NodeId node = new NodeId(reader.integer("node"));
         ZoneId zone = new ZoneId((int) reader.integer("dc", 0));
-        return new Entry(node, state, kind, size, started, cell, zone);
+        return new Endpoint(node, state, kind, size, started, cell, zone);
     }
 
-    private State state(int number) {
-        State[] states = State.values();
+    private NodeState state(int number) {
+        NodeState[] states = NodeState.values();
         if (number < 0 || number >= states.length) {
             throw reader.malformed("stage-state is out of range");
         }
--- a/src/main/java/cairnbridge/adapter/EventDecoder.java
+++ b/src/main/java/cairnbridge/adapter/EventDecoder.java
@@ -3,13 +3,13 @@
 import static cairnbridge.config.SettingsReader.toTicks;
 
 import cairnbridge.decision.Event;
-import cairnbridge.decision.Event.Ending;
-import cairnbridge.decision.Event.Scope;
+import cairnbridge.decision.Event.AttemptOutcome;
+import cairnbridge.decision.Event.ListScope;
 import cairnbridge.decision.Ids.CategoryId;
 import cairnbridge.decision.Ids.KeyId;
 import cairnbridge.decision.Ids.NodeId;
-import cairnbridge.decision.Ids.OpId;
 import cairnbridge.decision.Ids.PeerId;
+import cairnbridge.decision.Ids.RequestId;
 import cairnbridge.decision.Ids.TenantId;
 import cairnbridge.decision.Ids.TimerId;
 import java.io.IOException;
@@ -48,7 +48,7 @@
             case "ORDER" -> requestArrived();
             case "FINISHED" -> attemptEnded(reportWidth);
             case "WAKEUP" -> new Event.TimerFired(new TimerId(reader.integer("key-back")));
-            case "GONE" -> new Event.OpDropped(new OpId(reader.integer("rid")));
+            case "GONE" -> new Event.RequestCancelled(new RequestId(reader.integer("rid")));
             case "STREAMING" -> streamBegan();
             case "MEMBERSHIP" -> endpointList();
             case "PING_RESULT" -> probeEnded(reportWidth);
@@ -58,7 +58,7 @@
     }
 
     private Event requestArrived() throws IOException {
-        OpId request = new OpId(reader.integer("rid"));
+        RequestId request = new RequestId(reader.integer("rid"));
         CategoryId category = new CategoryId((int) reader.integer("kind"));
         TenantId tenant = new TenantId((int) reader.integer("user-group", 0));
         KeyId key = reader.optionalText("target-key").map(this::key).orElse(null);
@@ -67,7 +67,7 @@
         long size = reader.integer("size", UNKNOWN_SIZE);
         boolean repeat = reader.flag("repeat");
         boolean write = reader.flag("is-write");
-        return new Event.OpArrived(
+        return new Event.RequestArrived(
                 request, category, tenant, key, expires, work, size, repeat, write);
     }
 
@@ -87,53 +87,53 @@
     }
 
     private Event attemptEnded(int reportWidth) throws IOException {
-        OpId request = new OpId(reader.integer("rid"));
+        RequestId request = new RequestId(reader.integer("rid"));
         int detail = (int) reader.integer("detail", 0);
-        Ending ending = ending(reader.text("reason"));
+        AttemptOutcome ending = ending(reader.text("reason"));
         int attempt = (int) reader.integer("round-no");
         boolean last = reader.flag("no-more");
         NodeId node = new NodeId(reader.integer("node"));
         long took = toTicks(reader.number("rtt-s", 0));
         double[] report = reader.numbers("usage", reportWidth);
-        return new Event.PushEnded(request, attempt, node, ending, detail, took, last, report);
+        return new Event.AttemptEnded(request, attempt, node, ending, detail, took, last, report);
     }
 
-    private Ending ending(String code) {
+    private AttemptOutcome ending(String code) {
         return switch (code) {
-            case "S" -> Ending.ACKED;
-            case "E" -> Ending.ERROR;
-            case "F" -> Ending.FULL;
-            case "T" -> Ending.TIMED_OUT;
-            case "C" -> Ending.NO_CONNECTION;
-            case "R" -> Ending.BROKEN;
-            case "X" -> Ending.CALLED_OFF;
-            case "N" -> Ending.NEVER_SENT;
-            case "M" -> Ending.MISS;
+            case "S" -> AttemptOutcome.SUCCESS;
+            case "E" -> AttemptOutcome.ERROR;
+            case "F" -> AttemptOutcome.OVERLOADED;
+            case "T" -> AttemptOutcome.TIMED_OUT;
+            case "C" -> AttemptOutcome.CONNECT_FAILED;
+            case "R" -> AttemptOutcome.CONNECTION_LOST;
+            case "X" -> AttemptOutcome.CANCELLED;
+            case "N" -> AttemptOutcome.NOT_SENT;
+            case "M" -> AttemptOutcome.CACHE_MISS;
             default -> throw reader.malformed("unknown ending " + code);
         };
     }
 
     private Event streamBegan() throws IOException {
-        OpId request = new OpId(reader.integer("rid"));
+        RequestId request = new RequestId(reader.integer("rid"));
         NodeId node = new NodeId(reader.integer("node"));
         long took = toTicks(reader.number("rtt-s"));
         int attempt = (int) reader.integer("round-no");
-        return new Event.StreamBegan(request, attempt, node, took);
+        return new Event.StreamingStarted(request, attempt, node, took);
     }
 
     private Event probeEnded(int reportWidth) throws IOException {
         long took = toTicks(reader.number("rtt-s"));
-        Ending ending = ending(reader.text("reason"));
+        AttemptOutcome ending = ending(reader.text("reason"));
         NodeId node = new NodeId(reader.integer("node"));
         double[] report = reader.numbers("usage", reportWidth);
-        return new Event.ProbeEnded(node, ending, took, report);
+        return new Event.HealthCheckEnded(node, ending, took, report);
     }
 
     private Event peerMessage() throws IOException {
         PeerId from = new PeerId((int) reader.integer("from"));
         String body = reader.text("body");
         try {
-            return new Event.PeerSaid(from, HexFormat.of().parseHex(body));
+            return new Event.PeerMessageReceived(from, HexFormat.of().parseHex(body));
         } catch (IllegalArgumentException e) {
             throw reader.malformed("body is not hex");
         }
@@ -143,11 +143,11 @@
         int scopeNumber = (int) reader.integer("scope");
         long version = reader.integer("index", 0);
         int table = (int) reader.integer("table", 0);
-        Scope[] scopes = Scope.values();
+        ListScope[] scopes = ListScope.values();
         if (scopeNumber < 0 || scopeNumber >= scopes.length) {
             throw reader.malformed("scope or table is out of range");
         }
-        Scope scope = scopes[scopeNumber];
-        return new Event.Roster(scope, version, tables.entries(scope, table));
+        ListScope scope = scopes[scopeNumber];
+        return new Event.EndpointListReceived(scope, version, tables.entries(scope, table));
     }
 }
--- a/src/main/java/cairnbridge/cli/Main.java
+++ b/src/main/java/cairnbridge/cli/Main.java
@@ -5,7 +5,7 @@
 import cairnbridge.config.ConfigurationException;
 import cairnbridge.config.FleetConfig;
 import cairnbridge.config.ProxyConfig;
-import cairnbridge.decision.Learnt;
+import cairnbridge.decision.WarmStartState;
 import cairnbridge.drill.scenario.ScenarioFault;
 import cairnbridge.proxy.Serve;
 import cairnbridge.recovery.StateKeeper;
@@ -141,7 +141,7 @@
                     new Serve(
                             config,
                             Main::end,
-                            keeper.map(StateKeeper::learntTrust).orElse(Learnt.NOTHING));
+                            keeper.map(StateKeeper::learntTrust).orElse(WarmStartState.EMPTY));
             try {
                 if (member != null) {
                     serve.join(
--- a/src/main/java/cairnbridge/cli/ReloadTrigger.java
+++ b/src/main/java/cairnbridge/cli/ReloadTrigger.java
@@ -1,6 +1,6 @@
 package cairnbridge.cli;
 
-import cairnbridge.decision.Bounds;
+import cairnbridge.decision.TimeBudget;
 import java.nio.file.Path;
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
@@ -46,8 +46,8 @@
                         reload.run();
                     }
                 },
-                Bounds.RELOAD_POLL_MILLIS,
-                Bounds.RELOAD_POLL_MILLIS,
+                TimeBudget.RELOAD_POLL_MILLIS,
+                TimeBudget.RELOAD_POLL_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/cairnbridge/config/ProxyConfig.java
+++ b/src/main/java/cairnbridge/config/ProxyConfig.java
@@ -1,7 +1,7 @@
 package cairnbridge.config;
 
-import cairnbridge.decision.Learnt;
 import cairnbridge.decision.Settings;
+import cairnbridge.decision.WarmStartState;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
@@ -101,12 +101,12 @@
     }
 
     /** What the process before this one has learnt; nothing where that was not kept. */
-    public Learnt readWarmStart() {
-        return warmStartFile.map(WarmStartFile::read).orElse(Learnt.NOTHING);
+    public WarmStartState readWarmStart() {
+        return warmStartFile.map(WarmStartFile::read).orElse(WarmStartState.EMPTY);
     }
 
     /** Keeps what this process has learnt for the next one, if there is a file for it. */
-    public void writeWarmStart(Learnt learnt) throws IOException {
+    public void writeWarmStart(WarmStartState learnt) throws IOException {
         if (warmStartFile.isPresent()) {
             WarmStartFile.write(warmStartFile.get(), learnt);
         }
--- a/src/main/java/cairnbridge/config/SettingsReader.java
+++ b/src/main/java/cairnbridge/config/SettingsReader.java
@@ -5,8 +5,8 @@
 import cairnbridge.decision.Ids.ZoneId;
 import cairnbridge.decision.Settings;
 import cairnbridge.decision.Settings.Category;
+import cairnbridge.decision.Settings.DeduplicationScope;
 import cairnbridge.decision.Settings.Effect;
-import cairnbridge.decision.Settings.Group;
 import cairnbridge.decision.Settings.Prices;
 import cairnbridge.decision.Settings.Tenant;
 import cairnbridge.time.Ticks;
@@ -99,22 +99,23 @@
 
     private static Category defaultCategory() {
         long ttl = toTicks(DEFAULT_TTL_SECONDS);
-        return new Category(Effect.AT_MOST_ONCE, Group.CELL, 0, ttl, 0, ttl, 1, 0, false);
+        return new Category(
+                Effect.AT_MOST_ONCE, DeduplicationScope.CELL, 0, ttl, 0, ttl, 1, 0, false);
     }
 
     private static Effect effect(JsonObject category) {
         return switch (category.text("effect", "once")) {
-            case "repeatable" -> Effect.REDELIVERABLE;
+            case "repeatable" -> Effect.IDEMPOTENT;
             case "by_key" -> Effect.DEDUPLICATED;
             default -> Effect.AT_MOST_ONCE;
         };
     }
 
-    private static Group group(JsonObject category) {
+    private static DeduplicationScope group(JsonObject category) {
         return switch (category.text("group", "cell")) {
-            case "all" -> Group.ALL;
-            case "zone" -> Group.ZONE;
-            default -> Group.CELL;
+            case "all" -> DeduplicationScope.ALL_NODES;
+            case "zone" -> DeduplicationScope.ZONE;
+            default -> DeduplicationScope.CELL;
         };
     }
 
--- a/src/main/java/cairnbridge/config/WarmStartFile.java
+++ b/src/main/java/cairnbridge/config/WarmStartFile.java
@@ -1,7 +1,7 @@
 package cairnbridge.config;
 
 import cairnbridge.decision.Ids.NodeId;
-import cairnbridge.decision.Learnt;
+import cairnbridge.decision.WarmStartState;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
@@ -33,9 +33,9 @@
     private WarmStartFile() {}
 
     /** Reads a file; nothing where it does not exist or cannot be used. */
-    static Learnt read(Path file) {
+    static WarmStartState read(Path file) {
         if (!Files.exists(file)) {
-            return Learnt.NOTHING;
+            return WarmStartState.EMPTY;
         }
         try {
             return parse(JsonObject.parse(Files.readString(file), NAME_IN_MESSAGES));
@@ -45,17 +45,18 @@
                     Level.WARNING,
                     "warm start: the file cannot be used, starting without it: {0}",
                     e.getMessage());
-            return Learnt.NOTHING;
+            return WarmStartState.EMPTY;
         }
     }
 
-    private static Learnt parse(JsonObject root) {
-        Map<NodeId, Learnt.Trust> nodes = new HashMap<>();
+    private static WarmStartState parse(JsonObject root) {
+        Map<NodeId, WarmStartState.Trust> nodes = new HashMap<>();
         for (JsonObject node : root.objects(NODES)) {
             NodeId id = new NodeId(Long.parseUnsignedLong(node.text(NODE_ID, ""), ID_RADIX));
-            nodes.put(id, new Learnt.Trust((long) node.number(NODE_STARTED, 0), share(node)));
+            nodes.put(
+                    id, new WarmStartState.Trust((long) node.number(NODE_STARTED, 0), share(node)));
         }
-        return new Learnt(
+        return new WarmStartState(
                 (long) root.number(TIME, 0), Math.max(0, root.number(ORIGIN_LATENCY, 0)), 0, nodes);
     }
 
@@ -68,7 +69,7 @@
     }
 
     /** Replaces the file. */
-    static void write(Path file, Learnt learnt) throws IOException {
+    static void write(Path file, WarmStartState learnt) throws IOException {
         // Guards against a half written file, where the platform kills the proxy meanwhile.
         Path temporary = file.resolveSibling(file.getFileName() + TEMPORARY_SUFFIX);
         try (JsonGenerator generator =
@@ -82,16 +83,16 @@
                 StandardCopyOption.ATOMIC_MOVE);
     }
 
-    private static void write(JsonGenerator generator, Learnt learnt) throws IOException {
+    private static void write(JsonGenerator generator, WarmStartState learnt) throws IOException {
         generator.writeStartObject();
-        generator.writeNumberField(TIME, learnt.at());
-        generator.writeNumberField(ORIGIN_LATENCY, learnt.originSpan());
+        generator.writeNumberField(TIME, learnt.recordedAt());
+        generator.writeNumberField(ORIGIN_LATENCY, learnt.originLatency());
         generator.writeArrayFieldStart(NODES);
-        for (Map.Entry<NodeId, Learnt.Trust> node : learnt.nodes().entrySet()) {
+        for (Map.Entry<NodeId, WarmStartState.Trust> node : learnt.nodes().entrySet()) {
             generator.writeStartObject();
             generator.writeStringField(NODE_ID, Long.toHexString(node.getKey().value()));
-            generator.writeNumberField(NODE_STARTED, node.getValue().started());
-            generator.writeNumberField(NODE_SHARE, node.getValue().share());
+            generator.writeNumberField(NODE_STARTED, node.getValue().startedAt());
+            generator.writeNumberField(NODE_SHARE, node.getValue().acceptedShare());
             generator.writeEndObject();
         }
         generator.writeEndArray();
--- a/src/main/java/cairnbridge/decision/Event.java
+++ b/src/main/java/cairnbridge/decision/Event.java
@@ -5,8 +5,8 @@
 import cairnbridge.decision.Ids.KeyId;
 import cairnbridge.decision.Ids.MachineKind;
 import cairnbridge.decision.Ids.NodeId;
-import cairnbridge.decision.Ids.OpId;
 import cairnbridge.decision.Ids.PeerId;
+import cairnbridge.decision.Ids.RequestId;
 import cairnbridge.decision.Ids.TenantId;
 import cairnbridge.decision.Ids.TimerId;
 import cairnbridge.decision.Ids.ZoneId;
@@ -17,111 +17,114 @@
  */
 public sealed interface Event {
     /** A new op. key is null where it names none; work is 0 and size negative where not told. */
-    record OpArrived(
-            OpId op,
+    record RequestArrived(
+            RequestId request,
             CategoryId category,
             TenantId tenant,
             KeyId key,
-            long expires,
+            long deadline,
             long work,
             long size,
-            boolean clientRepeat,
-            boolean write)
+            boolean isClientRetry,
+            boolean isWrite)
             implements Event {}
 
     /**
      * How one push ended; over is set once the op owes no answer any more. note: 1 hit, 2 or 3
      * miss.
      */
-    record PushEnded(
-            OpId op,
-            int push,
+    record AttemptEnded(
+            RequestId request,
+            int attempt,
             NodeId node,
-            Ending ending,
-            int note,
-            long took,
-            boolean over,
-            double[] report)
+            AttemptOutcome outcome,
+            int cacheStatus,
+            long duration,
+            boolean isRequestOver,
+            double[] loadReport)
             implements Event {}
 
-    record StreamBegan(OpId op, int push, NodeId node, long took) implements Event {}
+    record StreamingStarted(RequestId request, int attempt, NodeId node, long elapsed)
+            implements Event {}
 
     /** The client went away; nothing is owed for the op any more. */
-    record OpDropped(OpId op) implements Event {}
+    record RequestCancelled(RequestId request) implements Event {}
 
     record TimerFired(TimerId timer) implements Event {}
 
-    record ProbeEnded(NodeId node, Ending ending, long took, double[] report) implements Event {}
+    record HealthCheckEnded(NodeId node, AttemptOutcome outcome, long duration, double[] loadReport)
+            implements Event {}
 
-    record PeerSaid(PeerId from, byte[] body) implements Event {}
+    record PeerMessageReceived(PeerId from, byte[] body) implements Event {}
 
-    record Roster(Scope scope, long version, List<Entry> entries) implements Event {}
+    record EndpointListReceived(ListScope scope, long version, List<Endpoint> endpoints)
+            implements Event {}
 
     /** Staff take a node out, or put it back, whatever the list says of it. */
-    record Held(NodeId node, boolean on) implements Event {}
+    record MaintenanceChanged(NodeId node, boolean inMaintenance) implements Event {}
 
     /**
      * So many proxies live, by a view that they keep together; counts in place of the configured
      * number.
      */
-    record Proxies(int count) implements Event {}
+    record LiveProxyCountChanged(int count) implements Event {}
 
     /**
      * Most proxies of this one's zone cannot reach the node; a hint, which may only make it
      * distrusted sooner.
      */
-    record Doubted(NodeId node) implements Event {}
+    record NodeSuspected(NodeId node) implements Event {}
 
     /** Where ops may go from now on, by a plan over zones. */
-    record Placed(Placement placement) implements Event {}
+    record PlacementChanged(Placement placement) implements Event {}
 
     /** The proxy is to end: no op may be kept beyond this time, whatever its TTL. */
-    record StopBy(long time) implements Event {}
+    record ShutdownScheduled(long deadline) implements Event {}
 
-    enum Scope {
+    enum ListScope {
         CACHED,
         FULL,
         CHANGES,
         FAILED
     }
 
-    enum State {
+    enum NodeState {
         GONE,
         READY,
         DRAINING
     }
 
     /** started is the clock time of the last start, 0 where it was long ago. */
-    record Entry(
+    record Endpoint(
             NodeId node,
-            State state,
+            NodeState state,
             MachineKind kind,
             double size,
-            long started,
+            long startedAt,
             CellId cell,
             ZoneId zone) {}
 
     /** The ways a push can end; neverRan tells which of them prove that the op did not run. */
-    enum Ending {
-        ACKED(false),
+    enum AttemptOutcome {
+        SUCCESS(false),
         ERROR(false),
-        FULL(true),
+        OVERLOADED(true),
         TIMED_OUT(false),
-        NO_CONNECTION(true),
-        BROKEN(false),
-        CALLED_OFF(false),
-        NEVER_SENT(true),
-        MISS(true);
+        CONNECT_FAILED(true),
+        CONNECTION_LOST(false),
+        CANCELLED(false),
+        NOT_SENT(true),
+        CACHE_MISS(true);
 
-        public final boolean neverRan;
+        public final boolean provesNotExecuted;
 
         /** No node had any work by it. */
-        boolean reachedNobody() {
-            return this == NO_CONNECTION || this == NEVER_SENT;
+        boolean reachedNoNode() {
+            return this == CONNECT_FAILED || this == NOT_SENT;
         }
 
-        Ending(boolean neverRan) {
-            this.neverRan = neverRan;
+        AttemptOutcome(boolean neverRan) {
+            this.provesNotExecuted = neverRan;
         }
     }
 }
--- a/src/main/java/cairnbridge/decision/Host.java
+++ b/src/main/java/cairnbridge/decision/Host.java
@@ -1,8 +1,8 @@
 package cairnbridge.decision;
 
 import cairnbridge.decision.Ids.NodeId;
-import cairnbridge.decision.Ids.OpId;
 import cairnbridge.decision.Ids.PeerId;
+import cairnbridge.decision.Ids.RequestId;
 import cairnbridge.decision.Ids.TimerId;
 
 /**
@@ -14,29 +14,29 @@
      * Starts a push; pushes of an op are numbered 0, 1, 2 ... in the order of these calls. Its last
      * byte may leave before latestBegin, a time of the clock, or not at all.
      */
-    void push(OpId op, NodeId node, long timeOut, long latestBegin);
+    void sendAttempt(RequestId op, NodeId node, long timeOut, long latestBegin);
 
-    void cancel(OpId op, int push);
+    void cancelAttempt(RequestId op, int push);
 
     /** Final answer: turned away, trying again is harmless; retryAfter 0 gives no advice. */
-    void nack(OpId op, long retryAfter);
+    void rejectRetryable(RequestId op, long retryAfter);
 
     /** Final answer: dead letter, no promise about effects. */
-    void deadLetter(OpId op);
+    void failPermanently(RequestId op);
 
-    void timer(long in, TimerId timer);
+    void startTimer(long in, TimerId timer);
 
-    void probe(NodeId node);
+    void checkHealth(NodeId node);
 
     /** Sends a message to one peer, or to all of them when peer is null. */
-    void tellPeer(PeerId peer, byte[] body);
+    void sendToPeer(PeerId peer, byte[] body);
 
-    void subscribe(boolean on);
+    void subscribeToEndpoints(boolean on);
 
-    void fetchRoster();
+    void fetchEndpointList();
 
     /** How many nodes of the list get nothing, or little, by hand or by choice. */
-    void avoids(int nodes);
+    void avoidedNodeCountChanged(int nodes);
 
     void log(String line);
 }
--- a/src/main/java/cairnbridge/decision/Ids.java
+++ b/src/main/java/cairnbridge/decision/Ids.java
@@ -4,7 +4,7 @@
 public final class Ids {
     private Ids() {}
 
-    public record OpId(long value) {}
+    public record RequestId(long value) {}
 
     public record NodeId(long value) {}
 
--- a/src/main/java/cairnbridge/decision/Loop.java
+++ b/src/main/java/cairnbridge/decision/Loop.java
@@ -28,7 +28,7 @@
 
     void wake(Part to, long in, Note note) {
         wakes.put(++lastTimer, new Wake(to, note));
-        host.timer(Math.max(1, in), new TimerId(lastTimer));
+        host.startTimer(Math.max(1, in), new TimerId(lastTimer));
     }
 
     void fired(TimerId timer) {
--- a/src/main/java/cairnbridge/decision/Op.java
+++ b/src/main/java/cairnbridge/decision/Op.java
@@ -1,17 +1,17 @@
 package cairnbridge.decision;
 
 import cairnbridge.decision.Ids.KeyId;
-import cairnbridge.decision.Ids.OpId;
+import cairnbridge.decision.Ids.RequestId;
 import cairnbridge.decision.Router.Node;
+import cairnbridge.decision.Settings.DeduplicationScope;
 import cairnbridge.decision.Settings.Effect;
-import cairnbridge.decision.Settings.Group;
 import cairnbridge.hash.SplitMix64;
 import java.util.ArrayList;
 import java.util.List;
 
 /** The record kept of one op from its arrival to the end of its last push. */
 final class Op {
-    final OpId id;
+    final RequestId id;
     final Plan plan;
     final KeyId key;
     final int tenant;
@@ -32,17 +32,17 @@
     boolean waiting;
     Node missedAt;
 
-    Op(Event.OpArrived event, Plan plan, long now) {
-        id = event.op();
+    Op(Event.RequestArrived event, Plan plan, long now) {
+        id = event.request();
         this.plan = plan;
         key = event.key();
         tenant = event.tenant().value();
         point = mix(key == null ? id.value() : key.value());
         arrived = now;
-        expires = event.expires();
+        expires = event.deadline();
         useful = plan.lateCounts ? expires : Math.min(expires, now + plan.target);
-        write = event.write();
-        repeat = event.clientRepeat();
+        write = event.isWrite();
+        repeat = event.isClientRetry();
         benefit = plan.benefit();
     }
 
@@ -85,7 +85,7 @@
     /** What decisions use of a category. */
     record Plan(
             Effect effect,
-            Group group,
+            DeduplicationScope group,
             long span,
             long target,
             double benefit,
@@ -95,11 +95,11 @@
         static Plan of(Settings.Category c) {
             return new Plan(
                     c.effect(),
-                    c.group(),
-                    c.memorySpan(),
-                    c.target(),
-                    c.benefit(),
-                    c.lateBenefit() > 0,
+                    c.deduplicationScope(),
+                    c.deduplicationWindow(),
+                    c.latencyObjective(),
+                    c.priorityWeight(),
+                    c.latePriorityWeight() > 0,
                     new Spans(),
                     c);
         }
--- a/src/main/java/cairnbridge/decision/Router.java
+++ b/src/main/java/cairnbridge/decision/Router.java
@@ -38,7 +38,7 @@
     private final OpDesk desk;
     private final Gate gate;
     private final Reports reports;
-    private final Learnt before;
+    private final WarmStartState before;
     private final Settings settings;
     /** Among how many what is shared out is divided: as configured, or as a view of the fleet tells. */
     private double proxies;
@@ -46,7 +46,7 @@
     private long now;
 
     /** before is what one whose place it takes had learnt and what still holds; the rest starts afresh. */
-    public Router(Settings settings, long seed, long clock, Host host, Learnt before) {
+    public Router(Settings settings, long seed, long clock, Host host, WarmStartState before) {
         this.before = before;
         this.host = host;
         this.loop = new Loop(host);
@@ -62,20 +62,20 @@
         this.desk = new OpDesk(settings);
         loop.wake(desk, BEAT, new Note(What.BEAT, 0));
         if (settings.mustSubscribe()) {
-            host.subscribe(true);
+            host.subscribeToEndpoints(true);
         }
     }
 
     /** What the next router may start with; bounds, heat, paces and reports hang on the shape and stay. */
-    public Learnt learnt() {
-        Map<NodeId, Learnt.Trust> trust = new HashMap<>();
-        nodes.forEach((id, node) -> trust.put(id, new Learnt.Trust(node.started, node.share)));
-        return new Learnt(now, origin.typical, gate.rate() * SECOND / gate.fallSpan, trust);
+    public WarmStartState warmStartState() {
+        Map<NodeId, WarmStartState.Trust> trust = new HashMap<>();
+        nodes.forEach((id, node) -> trust.put(id, new WarmStartState.Trust(node.started, node.share)));
+        return new WarmStartState(now, origin.typical, gate.rate() * SECOND / gate.fallSpan, trust);
     }
 
     /** How much of what was learnt still counts: half after some seconds, and it fades on. */
     private double fading() {
-        return before.at() > now ? 0 : Math.pow(0.5, (double) (now - before.at()) / (15 * SECOND));
+        return before.recordedAt() > now ? 0 : Math.pow(0.5, (double) (now - before.recordedAt()) / (15 * SECOND));
     }
 
     /** The one loop: an event becomes notes, and notes are handed out until every inbox is empty. */
@@ -83,13 +83,13 @@
         now = Math.max(now, clock);
         if (event instanceof Event.TimerFired fired) {
             loop.fired(fired.timer());
-        } else if (event instanceof Event.Roster || event instanceof Event.Held) {
-            loop.post(ring, new Note(event instanceof Event.Held ? What.HELD : What.LISTED, event));
-        } else if (event instanceof Event.Proxies living) {
+        } else if (event instanceof Event.EndpointListReceived || event instanceof Event.MaintenanceChanged) {
+            loop.post(ring, new Note(event instanceof Event.MaintenanceChanged ? What.HELD : What.LISTED, event));
+        } else if (event instanceof Event.LiveProxyCountChanged living) {
             proxies = Math.max(1, living.count());
-        } else if (event instanceof Event.Placed placed) {
+        } else if (event instanceof Event.PlacementChanged placed) {
             placement = placed.placement();
-        } else if (event instanceof Event.Doubted doubted && nodes.get(doubted.node()) != null) {
+        } else if (event instanceof Event.NodeSuspected doubted && nodes.get(doubted.node()) != null) {
             loop.post(nodes.get(doubted.node()), new Note(What.DOUBTED, event));
         } else {
             loop.post(desk, new Note(What.EVENT, event));
@@ -227,10 +227,10 @@
                 case PLACE -> place(note.op, note.node);
                 case LOAD -> inFlight += note.number;
                 case RESTLESS -> restless.add(note.node);
-                case TOLD -> told(note.node, (Event.PushEnded) note.event);
-                case LISTED -> list((Event.Roster) note.event);
-                case HELD -> hold((Event.Held) note.event);
-                case SUBSCRIBE -> host.subscribe(true);
+                case TOLD -> told(note.node, (Event.AttemptEnded) note.event);
+                case LISTED -> list((Event.EndpointListReceived) note.event);
+                case HELD -> hold((Event.MaintenanceChanged) note.event);
+                case SUBSCRIBE -> host.subscribeToEndpoints(true);
                 default -> beat();
             }
         }
@@ -256,13 +256,13 @@
                     restless.remove(i);
                 }
             }
-            host.avoids((int) avoided);
+            host.avoidedNodeCountChanged((int) avoided);
             loop.post(admission, new Note(What.BEAT, 0));
         }
 
-        private void told(Node node, Event.PushEnded ended) {
-            double span = reports.span(ended.report());
-            double work = reports.work(ended.report()) * node.size;
+        private void told(Node node, Event.AttemptEnded ended) {
+            double span = reports.span(ended.loadReport());
+            double work = reports.work(ended.loadReport()) * node.size;
             usual += (span - usual) * freshness(now - toldAt, 16);
             toldAt = now;
             if (work > 0) {
@@ -314,34 +314,34 @@
             return weight <= 0 ? 0 : some.stream().mapToInt(n -> n.inFlight).sum() / weight;
         }
 
-        private void list(Event.Roster roster) {
-            if (roster.scope() == Scope.FAILED) {
+        private void list(Event.EndpointListReceived roster) {
+            if (roster.scope() == ListScope.FAILED) {
                 // Guards against a list of fixed capacity that all ask at once: waits grow, one at a time.
                 if (now >= askAt) {
                     long wait = BEAT + chance.nextLong(SECOND << Math.min(failures++, 2));
-                    askAt = now + Math.min(wait, Math.max(BEAT, Bounds.askWithin(settings.askWithin())));
+                    askAt = now + Math.min(wait, Math.max(BEAT, TimeBudget.maxListRetryWait(settings.askWithin())));
                     loop.wake(this, askAt - now, new Note(What.SUBSCRIBE, 0));
                 }
                 return;
             }
-            failures = roster.scope() == Scope.CACHED ? failures : 0;
+            failures = roster.scope() == ListScope.CACHED ? failures : 0;
             // Guards against a list that has lost its contents: what is held stays in use.
-            if (roster.scope() != Scope.CHANGES && !roster.entries().isEmpty()) {
+            if (roster.scope() != ListScope.CHANGES && !roster.endpoints().isEmpty()) {
                 for (Node node : nodes.values()) {
-                    node.state = State.GONE;
+                    node.state = NodeState.GONE;
                 }
             }
-            for (Entry entry : roster.entries()) {
+            for (Endpoint entry : roster.endpoints()) {
                 nodes.computeIfAbsent(entry.node(), Node::new).enter(entry);
             }
             build();
         }
 
         /** Guards against a node restarted meanwhile, of which the list tells late: it comes back as cold. */
-        private void hold(Event.Held event) {
+        private void hold(Event.MaintenanceChanged event) {
             Node node = nodes.get(event.node());
-            Long since = event.on() ? held.putIfAbsent(event.node(), now) : held.remove(event.node());
-            if (!event.on() && since != null && node != null) {
+            Long since = event.inMaintenance() ? held.putIfAbsent(event.node(), now) : held.remove(event.node());
+            if (!event.inMaintenance() && since != null && node != null) {
                 node.restarted(node.started < since ? now : node.started);
             }
             build();
@@ -385,7 +385,7 @@
             }
             points.change(gone, marks);
             // Guards against memory that grows with every node that ever was, as nodes come and go all day.
-            nodes.values().removeIf(node -> node.state == State.GONE && node.inFlight == 0);
+            nodes.values().removeIf(node -> node.state == NodeState.GONE && node.inFlight == 0);
             loop.post(origin, new Note(What.MEMBERS, 0));
             pace();
             beat();
@@ -395,8 +395,8 @@
     /** One server: its count in flight, its health and its warmth. */
     final class Node extends Part {
         final NodeId id;
-        State state = State.GONE;
-        Entry entry;
+        NodeState state = NodeState.GONE;
+        Endpoint entry;
         double size = 1, weight = 1, openness = 1, pace = 1;
         long started;
         int slot = -1, points;
@@ -411,19 +411,19 @@
 
         Node(NodeId id) {
             this.id = id;
-            Learnt.Trust trust = before.nodes().get(id);
+            WarmStartState.Trust trust = before.nodes().get(id);
             if (trust != null) {
-                started = trust.started(); // Where the list tells of another start, that forgets the rest.
-                share = Math.max(LEAST_SHARE, 1 - (1 - trust.share()) * fading());
+                started = trust.startedAt(); // Where the list tells of another start, that forgets the rest.
+                share = Math.max(LEAST_SHARE, 1 - (1 - trust.acceptedShare()) * fading());
             }
         }
 
-        void enter(Entry entry) {
+        void enter(Endpoint entry) {
             this.entry = entry;
             state = entry.state();
             size = entry.size() > 0 ? entry.size() : 1;
-            if (entry.started() > started) {
-                restarted(entry.started());
+            if (entry.startedAt() > started) {
+                restarted(entry.startedAt());
             }
         }
 
@@ -437,7 +437,7 @@
         }
 
         boolean serves() {
-            return state == State.READY && !held.containsKey(id);
+            return state == NodeState.READY && !held.containsKey(id);
         }
 
         /** The share of its capacity that a node is sure to have by now, from 0 to 1. */
@@ -458,7 +458,7 @@
                 }
                 case ENDED -> {
                     count(-1);
-                    judge(note.op, (Event.PushEnded) note.event);
+                    judge(note.op, (Event.AttemptEnded) note.event);
                 }
                 default -> count(-1);
             }
@@ -507,10 +507,10 @@
             return expected <= fair ? 1 : Math.max(LEAST_SHARE, fair / expected);
         }
 
-        private void heard(Event.PushEnded ended) {
-            double told = reports.span(ended.report());
+        private void heard(Event.AttemptEnded ended) {
+            double told = reports.span(ended.loadReport());
             if (told >= 0 && !origin.is(this)) {
-                double seen = ended.ending() == Ending.ACKED ? ended.took() : Math.max(told, ended.took());
+                double seen = ended.outcome() == AttemptOutcome.SUCCESS ? ended.duration() : Math.max(told, ended.duration());
                 span += ((told + seen) / 2 - span) * (toldAt == 0 ? 1 : freshness(now - toldAt, 4));
                 toldAt = now;
                 loop.post(ring, new Note(What.TOLD, null, this, null, ended, 0));
@@ -529,11 +529,11 @@
             }
         }
 
-        private void judge(Op op, Event.PushEnded ended) {
+        private void judge(Op op, Event.AttemptEnded ended) {
             heard(ended);
-            if (ended.ending() != Ending.NEVER_SENT) {
-                boolean late = ended.took() > op.plan.late() || ended.ending() != Ending.ACKED
-                        && ended.ending() != Ending.MISS && ended.ending() != Ending.CALLED_OFF;
+            if (ended.outcome() != AttemptOutcome.NOT_SENT) {
+                boolean late = ended.duration() > op.plan.late() || ended.outcome() != AttemptOutcome.SUCCESS
+                        && ended.outcome() != AttemptOutcome.CACHE_MISS && ended.outcome() != AttemptOutcome.CANCELLED;
                 // Guards against many proxies that each see few ends here: one stands for what others saw.
                 double ends = Math.max(1, Math.min(MOST_ENDS, (now - judgedAt) * 4.0 / SECOND));
                 judgedAt = now;
@@ -542,9 +542,9 @@
                     stir();
                 }
             }
-            switch (ended.ending()) {
-                case ACKED, MISS -> badRun = 0;
-                case NEVER_SENT, CALLED_OFF -> { }
+            switch (ended.outcome()) {
+                case SUCCESS, CACHE_MISS -> badRun = 0;
+                case NOT_SENT, CANCELLED -> { }
                 default -> {
                     // Guards against a cache that fails fast, its count near none: bad ends keep their place.
                     badRun++;
@@ -571,8 +571,8 @@
         Origin(Settings settings) {
             aside = settings.aside();
             kind = settings.originKind();
-            typical = before.originSpan() * fading();
-            dearest = settings.categories().stream().mapToDouble(c -> c.benefit()).max().orElse(1);
+            typical = before.originLatency() * fading();
+            dearest = settings.categories().stream().mapToDouble(c -> c.priorityWeight()).max().orElse(1);
         }
 
         boolean is(Node node) {
@@ -587,7 +587,7 @@
         @Override void take(Note note) {
             switch (note.what) {
                 case WANT -> want(note.op);
-                case ENDED -> ended(note.op, (Event.PushEnded) note.event);
+                case ENDED -> ended(note.op, (Event.AttemptEnded) note.event);
                 case BEGUN -> settle(note.op, true); // Guards against followers held for as long as it takes.
                 case VETOED -> {
                     inFlight--;
@@ -662,16 +662,16 @@
             loop.post(desk, new Note(What.GIVE_UP, op, null, null, null, SECOND));
         }
 
-        private void ended(Op op, Event.PushEnded ended) {
+        private void ended(Op op, Event.AttemptEnded ended) {
             inFlight--;
-            boolean acked = ended.ending() == Ending.ACKED;
-            boolean late = ended.took() > (op.useful - op.arrived) / 2;
+            boolean acked = ended.outcome() == AttemptOutcome.SUCCESS;
+            boolean late = ended.duration() > (op.useful - op.arrived) / 2;
             boolean lost = late && limit.least() < 1;
             // Guards against feeding a slowed origin ops that run out of time there: they count as well.
-            if (acked || ended.ending() == Ending.TIMED_OUT || lost) {
-                typical += (ended.took() - typical) * freshness(now - limit.endedAt, 8);
+            if (acked || ended.outcome() == AttemptOutcome.TIMED_OUT || lost) {
+                typical += (ended.duration() - typical) * freshness(now - limit.endedAt, 8);
             }
-            if (lost || ended.ending() != Ending.CALLED_OFF && ended.ending() != Ending.NEVER_SENT) {
+            if (lost || ended.outcome() != AttemptOutcome.CANCELLED && ended.outcome() != AttemptOutcome.NOT_SENT) {
                 limit.ended(!acked || late, inFlight);
             }
             settle(op, acked);
@@ -711,11 +711,11 @@
             quotas = new double[settings.tenants().size()];
             tokens = new double[quotas.length];
             parts = new double[quotas.length];
-            double all = settings.tenants().stream().mapToDouble(Tenant::quota).sum();
+            double all = settings.tenants().stream().mapToDouble(Tenant::quotaPerSecond).sum();
             for (int i = 0; i < quotas.length; i++) {
                 Tenant tenant = settings.tenants().get(i);
-                quotas[i] = UNEVEN * tenant.quota() / SECOND;
-                parts[i] = UNEVEN * tenant.quota() / all;
+                quotas[i] = UNEVEN * tenant.quotaPerSecond() / SECOND;
+                parts[i] = UNEVEN * tenant.quotaPerSecond() / all;
                 tokens[i] = depth(i);
             }
         }
@@ -726,18 +726,18 @@
                 return;
             }
             if (note.what == What.ENDED) {
-                Event.PushEnded ended = (Event.PushEnded) note.event;
+                Event.AttemptEnded ended = (Event.AttemptEnded) note.event;
                 // Guards against a day that begins jammed, its lowest span high: the target counts too.
-                boolean lost = ended.ending() == Ending.TIMED_OUT
-                        || ended.ending() == Ending.CALLED_OFF && note.op.expires - now <= SECOND / 50;
-                double told = reports.span(ended.report());
+                boolean lost = ended.outcome() == AttemptOutcome.TIMED_OUT
+                        || ended.outcome() == AttemptOutcome.CANCELLED && note.op.expires - now <= SECOND / 50;
+                double told = reports.span(ended.loadReport());
                 double base = note.op.plan.target() / 6.0;
                 // Guards against a jam seen in what is only cold, or in the own wait where caches are quick.
                 double span = told >= 0 ? told / base : gate.warmth(note.node)
-                        * ended.took() / Math.max(base / 10, Math.min(note.op.plan.hits().floor(), base));
+                        * ended.duration() / Math.max(base / 10, Math.min(note.op.plan.hits().floor(), base));
                 double times = lost ? MOST_TIMES : Math.min(MOST_TIMES, span);
-                if (told >= 0 || ended.ending() != Ending.NEVER_SENT && ended.ending() != Ending.MISS
-                        && ended.ending() != Ending.FULL) {
+                if (told >= 0 || ended.outcome() != AttemptOutcome.NOT_SENT && ended.outcome() != AttemptOutcome.CACHE_MISS
+                        && ended.outcome() != AttemptOutcome.OVERLOADED) {
                     stretch += (times - stretch) * freshness(now - judgedAt, 24);
                     judgedAt = now;
                 }
@@ -798,7 +798,7 @@
     /** Owns every op from its arrival to the end of its last push. */
     private final class OpDesk extends Part {
         private final Plan[] plans;
-        private final Map<OpId, Op> ops = new HashMap<>();
+        private final Map<RequestId, Op> ops = new HashMap<>();
         private final long margin;
         private double retries = RETRY_BURST;
 
@@ -835,23 +835,23 @@
         }
 
         private void told(Event event) {
-            if (event instanceof Event.OpArrived arrived) {
+            if (event instanceof Event.RequestArrived arrived) {
                 arrived(arrived);
-            } else if (event instanceof Event.PushEnded ended) {
+            } else if (event instanceof Event.AttemptEnded ended) {
                 ended(ended);
-            } else if (event instanceof Event.OpDropped dropped && ops.get(dropped.op()) != null) {
-                finish(ops.get(dropped.op()));
-            } else if (event instanceof Event.StopBy stop) {
+            } else if (event instanceof Event.RequestCancelled dropped && ops.get(dropped.request()) != null) {
+                finish(ops.get(dropped.request()));
+            } else if (event instanceof Event.ShutdownScheduled stop) {
                 // Guards against ops that would outlast the process: they are answered as at their TTL.
-                long left = Math.max(0, stop.time() - margin - now);
+                long left = Math.max(0, stop.deadline() - margin - now);
                 ops.values().forEach(op -> loop.wake(this, left, Note.expiry(op, LONGEST)));
-            } else if (event instanceof Event.StreamBegan began && ops.get(began.op()) != null) {
-                ops.get(began.op()).streaming = true;
-                loop.post(origin, new Note(What.BEGUN, ops.get(began.op())));
+            } else if (event instanceof Event.StreamingStarted began && ops.get(began.request()) != null) {
+                ops.get(began.request()).streaming = true;
+                loop.post(origin, new Note(What.BEGUN, ops.get(began.request())));
             }
         }
 
-        private void arrived(Event.OpArrived event) {
+        private void arrived(Event.RequestArrived event) {
             int category = event.category().value();
             Op op = new Op(event, plans[Math.max(0, Math.min(plans.length - 1, category))], now);
             ops.put(op.id, op);
@@ -871,7 +871,7 @@
 
         /** When a push outlasts nearly all others of its category, a second copy may go elsewhere. */
         private void sent(Op op, Push push) {
-            if (push.fetch || !settings.maySecondCopy() || op.plan.effect() != Effect.REDELIVERABLE) {
+            if (push.fetch || !settings.maySecondCopy() || op.plan.effect() != Effect.IDEMPOTENT) {
                 return;
             }
             long most = Math.max(op.plan.target() / 2, 5 * op.plan.hits().floor());
@@ -888,15 +888,15 @@
             }
         }
 
-        private void ended(Event.PushEnded event) {
-            Op op = ops.get(event.op());
-            if (op == null || event.push() < 0 || event.push() >= op.pushes.size()
-                    || !op.pushes.get(event.push()).open) {
+        private void ended(Event.AttemptEnded event) {
+            Op op = ops.get(event.request());
+            if (op == null || event.attempt() < 0 || event.attempt() >= op.pushes.size()
+                    || !op.pushes.get(event.attempt()).open) {
                 return;
             }
-            Push push = op.pushes.get(event.push());
+            Push push = op.pushes.get(event.attempt());
             push.open = false;
-            push.mayHaveRun = !event.ending().neverRan;
+            push.mayHaveRun = !event.outcome().provesNotExecuted;
             op.open--;
             Note ended = new Note(What.ENDED, op, push.node, push, event, 0);
             loop.post(push.node, ended);
@@ -904,17 +904,17 @@
                 loop.post(origin, ended);
             } else {
                 loop.post(admission, ended);
-                if (event.ending() == Ending.ACKED) {
-                    op.plan.hits().add(event.took());
+                if (event.outcome() == AttemptOutcome.SUCCESS) {
+                    op.plan.hits().add(event.duration());
                 }
             }
-            if (event.over() || op.over) {
+            if (event.isRequestOver() || op.over) {
                 finish(op);
-            } else if (event.ending() == Ending.MISS) {
+            } else if (event.outcome() == AttemptOutcome.CACHE_MISS) {
                 op.missedAt = op.missedAt == null ? push.node : op.missedAt;
                 loop.post(origin, new Note(What.WANT, op));
             } else {
-                again(op, push, event.ending().reachedNobody() ? 0 : 1);
+                again(op, push, event.outcome().reachedNoNode() ? 0 : 1);
             }
         }
 
@@ -985,7 +985,7 @@
             node.coldLeft--;
             rate();
             sends += node.slot >= 0 ? 1 : 0;
-            host.push(op.id, node.id, 0, latest);
+            host.sendAttempt(op.id, node.id, 0, latest);
             loop.post(desk, new Note(What.SENT, op, node, push, null, 0));
         }
 
@@ -1001,7 +1001,7 @@
             boolean room = now < op.latestBegin(tick) && node.serves() && (origin.is(node) || coldRoom(node));
             for (Push push : op.pushes) {
                 boolean same = switch (op.plan.group()) {
-                    case ALL -> true;
+                    case ALL_NODES -> true;
                     case ZONE -> push.node.entry.zone().equals(node.entry.zone());
                     case CELL -> push.node.entry.cell().equals(node.entry.cell());
                 };
@@ -1014,17 +1014,17 @@
         private void answer(Op op, long wanted) {
             long retryAfter = Math.min(maxAdvice, wanted);
             boolean harmless = switch (op.plan.effect()) {
-                case REDELIVERABLE -> true;
-                case DEDUPLICATED -> !op.mayHaveRun() || op.plan.group() == Group.ALL
+                case IDEMPOTENT -> true;
+                case DEDUPLICATED -> !op.mayHaveRun() || op.plan.group() == DeduplicationScope.ALL_NODES
                         && now + retryAfter < op.pushes.get(0).sent + op.plan.span();
                 case AT_MOST_ONCE -> !op.mayHaveRun();
             };
             if (op.over) {
                 return;
             } else if (harmless) {
-                host.nack(op.id, retryAfter);
+                host.rejectRetryable(op.id, retryAfter);
             } else {
-                host.deadLetter(op.id);
+                host.failPermanently(op.id);
             }
             op.over = true;
             loop.post(desk, new Note(What.FINISH, op));
@@ -1033,8 +1033,8 @@
         private void callOff(Op op) {
             for (int i = 0; settings.mayCancel() && op.open > 0 && i < op.pushes.size(); i++) {
                 // An at-most-once op may still be carried out: calling it off would help nobody.
-                if (op.pushes.get(i).open && op.plan.effect() == Effect.REDELIVERABLE) {
-                    host.cancel(op.id, i);
+                if (op.pushes.get(i).open && op.plan.effect() == Effect.IDEMPOTENT) {
+                    host.cancelAttempt(op.id, i);
                 }
             }
         }
@@ -1072,7 +1072,7 @@
             double seen = 1 - Math.exp(-Math.max(BEAT, now - begun) / memory);
             // Guards against caches that all are cold, so that no share of a warm one's would ever be
             // anything.
-            return Math.max(now - begun < settings.warmUp() ? before.sendRate() * fallSpan / SECOND : 0,
+            return Math.max(now - begun < settings.warmUp() ? before.sendsPerSecond() * fallSpan / SECOND : 0,
                     sends / seen * fallSpan / memory / Math.max(1, ring.weights));
         }
     }
--- a/src/main/java/cairnbridge/decision/Settings.java
+++ b/src/main/java/cairnbridge/decision/Settings.java
@@ -37,30 +37,30 @@
         List<Tenant> tenants) {
 
     public enum Effect {
-        REDELIVERABLE,
+        IDEMPOTENT,
         DEDUPLICATED,
         AT_MOST_ONCE
     }
 
-    public enum Group {
-        ALL,
+    public enum DeduplicationScope {
+        ALL_NODES,
         ZONE,
         CELL
     }
 
     public record Category(
             Effect effect,
-            Group group,
-            long memorySpan,
-            long target,
-            double targetStretch,
+            DeduplicationScope deduplicationScope,
+            long deduplicationWindow,
+            long latencyObjective,
+            double objectiveStretch,
             long ttl,
-            double benefit,
-            double lateBenefit,
-            boolean stream) {}
+            double priorityWeight,
+            double latePriorityWeight,
+            boolean isStreamed) {}
 
     /** quota is ops a second over all proxies together. */
-    public record Tenant(double quota, double fraction) {}
+    public record Tenant(double quotaPerSecond, double fraction) {}
 
     /** Points of service for one unit of each. */
     public record Prices(
--- a/src/main/java/cairnbridge/decision/Learnt.java
+++ b/src/main/java/cairnbridge/decision/WarmStartState.java
@@ -9,11 +9,12 @@
  * of size one was sent by this proxy, 0 where that is not told. Times are tenths of a millisecond;
  * at is when.
  */
-public record Learnt(long at, double originSpan, double sendRate, Map<NodeId, Trust> nodes) {
-    public static final Learnt NOTHING = new Learnt(0, 0, 0, Map.of());
+public record WarmStartState(
+        long recordedAt, double originLatency, double sendsPerSecond, Map<NodeId, Trust> nodes) {
+    public static final WarmStartState EMPTY = new WarmStartState(0, 0, 0, Map.of());
 
     /**
      * The part of its offers that the node takes, 1 where all went well; started names its process.
      */
-    public record Trust(long started, double share) {}
+    public record Trust(long startedAt, double acceptedShare) {}
 }
--- a/src/main/java/cairnbridge/fleet/coordination/FleetLoadCounters.java
+++ b/src/main/java/cairnbridge/fleet/coordination/FleetLoadCounters.java
@@ -1,7 +1,7 @@
 package cairnbridge.fleet.coordination;
 
 import cairnbridge.decision.Event;
-import cairnbridge.decision.Event.Ending;
+import cairnbridge.decision.Event.AttemptOutcome;
 import cairnbridge.decision.Ids.MachineKind;
 import cairnbridge.decision.Ids.NodeId;
 import cairnbridge.decision.Settings;
@@ -63,18 +63,18 @@
     }
 
     /** The endpoint list has changed. */
-    public void endpointListChanged(Event.Roster change) {
-        if (change.scope() != Event.Scope.CHANGES && !change.entries().isEmpty()) {
+    public void endpointListChanged(Event.EndpointListReceived change) {
+        if (change.scope() != Event.ListScope.CHANGES && !change.endpoints().isEmpty()) {
             knownNodes.clear();
             zoneOf.clear();
         }
-        change.entries().forEach(this::update);
+        change.endpoints().forEach(this::update);
         nodes.retain(knownNodes);
         zones.retain(zoneOf.values());
     }
 
-    private void update(Event.Entry entry) {
-        boolean gone = entry.state() == Event.State.GONE;
+    private void update(Event.Endpoint entry) {
+        boolean gone = entry.state() == Event.NodeState.GONE;
         if (gone) {
             knownNodes.remove(entry.node().value());
         } else {
@@ -91,7 +91,7 @@
     }
 
     /** A health check has ended. */
-    public void probeEnded(NodeId node, Ending ending, long now) {
+    public void probeEnded(NodeId node, AttemptOutcome ending, long now) {
         recordReachability(node, ending, 0, now);
     }
 
@@ -102,24 +102,31 @@
      * @param timeLeft what was left of its request's time
      */
     public void attemptEnded(
-            NodeId node, int category, Ending ending, long duration, long timeLeft, long now) {
+            NodeId node,
+            int category,
+            AttemptOutcome ending,
+            long duration,
+            long timeLeft,
+            long now) {
         recordReachability(node, ending, timeLeft, now);
         Long zone = zoneOf.get(node);
         if (zone != null && isConclusive(ending, timeLeft)) {
             boolean answered =
-                    ending == Ending.ACKED || ending == Ending.MISS || ending == Ending.FULL;
-            boolean late = duration > categories.get(category).target();
+                    ending == AttemptOutcome.SUCCESS
+                            || ending == AttemptOutcome.CACHE_MISS
+                            || ending == AttemptOutcome.OVERLOADED;
+            boolean late = duration > categories.get(category).latencyObjective();
             outcomes.record(zone, !answered || late, now);
         }
     }
 
-    private void recordReachability(NodeId node, Ending ending, long timeLeft, long now) {
+    private void recordReachability(NodeId node, AttemptOutcome ending, long timeLeft, long now) {
         if (!isConclusive(ending, timeLeft)) {
             return;
         }
         boolean reached =
                 switch (ending) {
-                    case TIMED_OUT, CALLED_OFF, NO_CONNECTION, BROKEN -> false;
+                    case TIMED_OUT, CANCELLED, CONNECT_FAILED, CONNECTION_LOST -> false;
                     default -> true;
                 };
         nodes.record(node.value(), reached, now);
@@ -133,9 +140,9 @@
      * Whether an ending says anything about the node; that of a cancelled attempt does if its
      * request's time was over.
      */
-    private static boolean isConclusive(Ending ending, long timeLeft) {
-        return ending != Ending.NEVER_SENT
-                && (ending != Ending.CALLED_OFF || timeLeft <= NEARLY_EXPIRED);
+    private static boolean isConclusive(AttemptOutcome ending, long timeLeft) {
+        return ending != AttemptOutcome.NOT_SENT
+                && (ending != AttemptOutcome.CANCELLED || timeLeft <= NEARLY_EXPIRED);
     }
 
     /** Makes what was counted so far readable for other threads. */
--- a/src/main/java/cairnbridge/lab/model/CacheModel.java
+++ b/src/main/java/cairnbridge/lab/model/CacheModel.java
@@ -1,6 +1,6 @@
 package cairnbridge.lab.model;
 
-import cairnbridge.decision.Event.Ending;
+import cairnbridge.decision.Event.AttemptOutcome;
 import cairnbridge.drill.standin.CacheBehavior;
 import cairnbridge.simulation.EventQueue;
 import java.util.LinkedHashMap;
@@ -65,10 +65,12 @@
         long now = agenda.now();
         boolean cold = behavior.isCold(now);
         if (!behavior.admits(now, places.busy())) {
-            then.accept(new Reply(Ending.FULL, 0));
+            then.accept(new Reply(AttemptOutcome.OVERLOADED, 0));
             return;
         }
-        places.take(() -> begin(request, cold, then), () -> then.accept(new Reply(Ending.FULL, 0)));
+        places.take(
+                () -> begin(request, cold, then),
+                () -> then.accept(new Reply(AttemptOutcome.OVERLOADED, 0)));
     }
 
     private void begin(Request request, boolean cold, Consumer<Reply> then) {
@@ -84,10 +86,10 @@
 
     private Reply reply(Request request) {
         if (behavior.isFailing()) {
-            return new Reply(Ending.ERROR, 0);
+            return new Reply(AttemptOutcome.ERROR, 0);
         }
         boolean hit = values.get(request.key()) != null;
-        return hit ? new Reply(Ending.ACKED, 1) : new Reply(Ending.MISS, 2);
+        return hit ? new Reply(AttemptOutcome.SUCCESS, 1) : new Reply(AttemptOutcome.CACHE_MISS, 2);
     }
 
     /** Whether a health probe that arrives now is answered well. */
--- a/src/main/java/cairnbridge/lab/model/OriginModel.java
+++ b/src/main/java/cairnbridge/lab/model/OriginModel.java
@@ -1,6 +1,6 @@
 package cairnbridge.lab.model;
 
-import cairnbridge.decision.Event.Ending;
+import cairnbridge.decision.Event.AttemptOutcome;
 import cairnbridge.drill.standin.Origin;
 import cairnbridge.simulation.EventQueue;
 import java.util.HashMap;
@@ -67,11 +67,11 @@
                                             caches.forEach(cache -> cache.store(request.key()));
                                         }
                                     }
-                                    then.accept(new Reply(Ending.ACKED, 0));
+                                    then.accept(new Reply(AttemptOutcome.SUCCESS, 0));
                                 }),
                 () -> {
                     turnedAway++;
-                    then.accept(new Reply(Ending.FULL, 0));
+                    then.accept(new Reply(AttemptOutcome.OVERLOADED, 0));
                 });
     }
 
--- a/src/main/java/cairnbridge/lab/model/ProxyModel.java
+++ b/src/main/java/cairnbridge/lab/model/ProxyModel.java
@@ -1,13 +1,13 @@
 package cairnbridge.lab.model;
 
 import cairnbridge.decision.Event;
-import cairnbridge.decision.Event.Ending;
+import cairnbridge.decision.Event.AttemptOutcome;
 import cairnbridge.decision.Host;
 import cairnbridge.decision.Ids.CategoryId;
 import cairnbridge.decision.Ids.KeyId;
 import cairnbridge.decision.Ids.NodeId;
-import cairnbridge.decision.Ids.OpId;
 import cairnbridge.decision.Ids.PeerId;
+import cairnbridge.decision.Ids.RequestId;
 import cairnbridge.decision.Ids.TenantId;
 import cairnbridge.decision.Ids.TimerId;
 import cairnbridge.lab.policy.Policy;
@@ -83,7 +83,7 @@
     private final EventQueue agenda;
     private final Net net;
     private final Nodes nodes;
-    private final Map<OpId, Live> ops = new HashMap<>();
+    private final Map<RequestId, Live> ops = new HashMap<>();
     private final List<Runnable> backlog = new ArrayList<>();
     private Policy policy;
 
@@ -207,7 +207,7 @@
     public void tell(Event event) {
         when(
                 () -> {
-                    if (zones != null && event instanceof Event.Roster roster) {
+                    if (zones != null && event instanceof Event.EndpointListReceived roster) {
                         zones.listed(roster);
                     }
                     try {
@@ -232,7 +232,7 @@
         }
         when(
                 () -> {
-                    OpId id = new OpId(++lastOp);
+                    RequestId id = new RequestId(++lastOp);
                     Live op = new Live(request, category, agenda.now() + ttl, client);
                     ops.put(id, op);
                     agenda.schedule(ttl, () -> when(() -> expired(id, op)));
@@ -253,7 +253,7 @@
                         return;
                     }
                     tell(
-                            new Event.OpArrived(
+                            new Event.RequestArrived(
                                     id,
                                     category,
                                     new TenantId(0),
@@ -266,7 +266,7 @@
                 });
     }
 
-    private boolean taken(OpId id, Live op, IncomingRequest arrival) {
+    private boolean taken(RequestId id, Live op, IncomingRequest arrival) {
         AdmissionDecision verdict = back.arrives(arrival);
         switch (verdict.kind()) {
             case REJECTED ->
@@ -281,27 +281,27 @@
         return verdict.kind() == AdmissionDecision.Kind.ADMITTED;
     }
 
-    private void expired(OpId id, Live op) {
+    private void expired(RequestId id, Live op) {
         if (!op.answered) {
             answer(id, op, new Answer(Answer.DEAD, 0));
-            tell(new Event.OpDropped(id));
+            tell(new Event.RequestCancelled(id));
         }
     }
 
-    private void answer(OpId id, Live op, Answer answer) {
+    private void answer(RequestId id, Live op, Answer answer) {
         over(id, op);
         op.client.accept(answer);
         forget(id, op);
     }
 
-    private void over(OpId id, Live op) {
+    private void over(RequestId id, Live op) {
         op.answered = true;
         if (back != null) {
             back.answered(id);
         }
     }
 
-    private void forget(OpId id, Live op) {
+    private void forget(RequestId id, Live op) {
         if (op.answered && op.open == 0) {
             ops.remove(id);
         }
@@ -320,12 +320,12 @@
                 });
     }
 
-    private void reset(OpId id, Live op, Call call) {
-        ended(id, op, call, new Reply(Ending.BROKEN, 0));
+    private void reset(RequestId id, Live op, Call call) {
+        ended(id, op, call, new Reply(AttemptOutcome.CONNECTION_LOST, 0));
     }
 
     @Override
-    public void push(OpId id, NodeId node, long timeOut, long latestBegin) {
+    public void sendAttempt(RequestId id, NodeId node, long timeOut, long latestBegin) {
         Live op = ops.get(id);
         if (op == null || op.answered) {
             throw new IllegalStateException("a push after the answer");
@@ -340,14 +340,24 @@
         if (there == null || cache == null && origin == null) {
             agenda.schedule(
                     2 * net.span(zone, zone),
-                    () -> when(() -> ended(id, op, call, new Reply(Ending.NO_CONNECTION, 0))));
+                    () ->
+                            when(
+                                    () ->
+                                            ended(
+                                                    id,
+                                                    op,
+                                                    call,
+                                                    new Reply(AttemptOutcome.CONNECT_FAILED, 0))));
             return;
         }
         long due = Math.min(op.expires - agenda.now(), timeOut > 0 ? timeOut : Long.MAX_VALUE);
-        agenda.schedule(due, () -> when(() -> ended(id, op, call, new Reply(Ending.TIMED_OUT, 0))));
+        agenda.schedule(
+                due, () -> when(() -> ended(id, op, call, new Reply(AttemptOutcome.TIMED_OUT, 0))));
         Consumer<Reply> back =
                 reply -> {
-                    if (reply.ending() == Ending.MISS && origin == null && cache != null) {
+                    if (reply.ending() == AttemptOutcome.CACHE_MISS
+                            && origin == null
+                            && cache != null) {
                         nodes.origin(null).missed(op.request, cache);
                     }
                     agenda.schedule(
@@ -361,12 +371,12 @@
                     } else if (cache.isAlive()) {
                         cache.take(op.request, back);
                     } else {
-                        back.accept(new Reply(Ending.NO_CONNECTION, 0));
+                        back.accept(new Reply(AttemptOutcome.CONNECT_FAILED, 0));
                     }
                 });
     }
 
-    private void ended(OpId id, Live op, Call call, Reply reply) {
+    private void ended(RequestId id, Live op, Call call, Reply reply) {
         if (call.over) {
             return;
         }
@@ -385,12 +395,12 @@
                             op.expires - agenda.now(),
                             agenda.now());
         }
-        if (reply.ending() == Ending.ACKED && !op.answered) {
+        if (reply.ending() == AttemptOutcome.SUCCESS && !op.answered) {
             over(id, op);
             op.client.accept(new Answer(Answer.OK, 0));
         }
         tell(
-                new Event.PushEnded(
+                new Event.AttemptEnded(
                         id,
                         call.number,
                         call.node,
@@ -403,7 +413,7 @@
     }
 
     @Override
-    public void cancel(OpId id, int number) {
+    public void cancelAttempt(RequestId id, int number) {
         Live op = ops.get(id);
         if (op != null && number < op.calls.size()) {
             agenda.schedule(
@@ -415,12 +425,12 @@
                                                     id,
                                                     op,
                                                     op.calls.get(number),
-                                                    new Reply(Ending.CALLED_OFF, 0))));
+                                                    new Reply(AttemptOutcome.CANCELLED, 0))));
         }
     }
 
     @Override
-    public void nack(OpId id, long retryAfter) {
+    public void rejectRetryable(RequestId id, long retryAfter) {
         Live op = ops.get(id);
         if (op != null && !op.answered) {
             answer(id, op, new Answer(Answer.NACKED, retryAfter));
@@ -428,7 +438,7 @@
     }
 
     @Override
-    public void deadLetter(OpId id) {
+    public void failPermanently(RequestId id) {
         Live op = ops.get(id);
         if (op != null && !op.answered) {
             answer(id, op, new Answer(Answer.DEAD, 0));
@@ -436,12 +446,12 @@
     }
 
     @Override
-    public void timer(long in, TimerId timer) {
+    public void startTimer(long in, TimerId timer) {
         agenda.schedule(in, () -> tell(new Event.TimerFired(timer)));
     }
 
     @Override
-    public void probe(NodeId node) {
+    public void checkHealth(NodeId node) {
         long sent = agenda.now();
         String there = nodes.zone(node);
         CacheModel cache = nodes.cache(node);
@@ -452,34 +462,34 @@
                 there == null
                         ? net.span(zone, zone)
                         : net.span(zone, there) + net.span(there, zone);
-        Ending ending = good ? Ending.ACKED : Ending.NO_CONNECTION;
+        AttemptOutcome ending = good ? AttemptOutcome.SUCCESS : AttemptOutcome.CONNECT_FAILED;
         agenda.schedule(
                 span,
                 () -> {
                     if (zones != null) {
                         zones.tally().probeEnded(node, ending, agenda.now());
                     }
-                    tell(new Event.ProbeEnded(node, ending, agenda.now() - sent, null));
+                    tell(new Event.HealthCheckEnded(node, ending, agenda.now() - sent, null));
                 });
     }
 
     @Override
-    public void tellPeer(PeerId peer, byte[] body) {
+    public void sendToPeer(PeerId peer, byte[] body) {
         throw new IllegalStateException("the settings allow no messages to peers");
     }
 
     @Override
-    public void subscribe(boolean on) {
+    public void subscribeToEndpoints(boolean on) {
         // The list comes by itself in these scenarios.
     }
 
     @Override
-    public void fetchRoster() {
+    public void fetchEndpointList() {
         // As above.
     }
 
     @Override
-    public void avoids(int count) {
+    public void avoidedNodeCountChanged(int count) {
         // Nobody reads it here.
     }
 
--- a/src/main/java/cairnbridge/lab/model/ReturnModel.java
+++ b/src/main/java/cairnbridge/lab/model/ReturnModel.java
@@ -1,12 +1,12 @@
 package cairnbridge.lab.model;
 
 import cairnbridge.decision.Event;
-import cairnbridge.decision.Event.Ending;
-import cairnbridge.decision.Event.Entry;
-import cairnbridge.decision.Event.Scope;
+import cairnbridge.decision.Event.AttemptOutcome;
+import cairnbridge.decision.Event.Endpoint;
+import cairnbridge.decision.Event.ListScope;
 import cairnbridge.decision.Ids.MachineKind;
 import cairnbridge.decision.Ids.NodeId;
-import cairnbridge.decision.Ids.OpId;
+import cairnbridge.decision.Ids.RequestId;
 import cairnbridge.recovery.AdmissionDecision;
 import cairnbridge.recovery.FleetSnapshot;
 import cairnbridge.recovery.IncomingRequest;
@@ -27,7 +27,7 @@
  */
 public final class ReturnModel implements RecoveryHost {
     /** A list of nodes with its version. */
-    public record Listed(long version, List<Entry> entries) {
+    public record Listed(long version, List<Endpoint> entries) {
         public static final Listed NONE = new Listed(0, List.of());
     }
 
@@ -40,7 +40,7 @@
     /** The list that was kept. */
     private final Listed kept;
 
-    private final Map<NodeId, Entry> entries = new LinkedHashMap<>();
+    private final Map<NodeId, Endpoint> entries = new LinkedHashMap<>();
     private RecoveryCoordinator recovery;
     private ProxyModel proxy;
     private Runnable listAnew = () -> {};
@@ -106,7 +106,7 @@
     }
 
     /** Discovery tells a list; false where it is not to be used. */
-    public boolean listed(Event.Roster roster) {
+    public boolean listed(Event.EndpointListReceived roster) {
         if (roster.version() < recovery.endpointListFloor()) {
             recovery.staleListReceived(roster.version(), agenda.now());
             return false;
@@ -115,12 +115,12 @@
         return true;
     }
 
-    private void take(Event.Roster roster) {
-        if (roster.scope() != Scope.CHANGES) {
+    private void take(Event.EndpointListReceived roster) {
+        if (roster.scope() != ListScope.CHANGES) {
             entries.clear();
         }
-        for (Entry entry : roster.entries()) {
-            if (entry.state() == Event.State.GONE) {
+        for (Endpoint entry : roster.endpoints()) {
+            if (entry.state() == Event.NodeState.GONE) {
                 entries.remove(entry.node());
             } else {
                 entries.put(entry.node(), entry);
@@ -134,17 +134,19 @@
         return recovery.admit(op, agenda.now());
     }
 
-    void ended(OpId op, NodeId node, Ending ending, long took) {
+    void ended(RequestId op, NodeId node, AttemptOutcome ending, long took) {
         recovery.attemptEnded(op, node, ending, took, agenda.now());
     }
 
-    void answered(OpId op) {
+    void answered(RequestId op) {
         recovery.requestAnswered(op);
     }
 
     private void guess(Listed list) {
         if (list.version() > 0) {
-            Event.Roster roster = new Event.Roster(Scope.CACHED, list.version(), list.entries());
+            Event.EndpointListReceived roster =
+                    new Event.EndpointListReceived(
+                            ListScope.CACHED, list.version(), list.entries());
             take(roster);
             proxy.tell(roster);
         }
@@ -153,15 +155,15 @@
     @Override
     public void usePersistedList() {
         long now = agenda.now();
-        List<Entry> cold = new ArrayList<>();
-        for (Entry each : kept.entries()) {
+        List<Endpoint> cold = new ArrayList<>();
+        for (Endpoint each : kept.entries()) {
             cold.add(
-                    new Entry(
+                    new Endpoint(
                             each.node(),
                             each.state(),
                             each.kind(),
                             each.size(),
-                            each.kind().equals(originKind) ? each.started() : now,
+                            each.kind().equals(originKind) ? each.startedAt() : now,
                             each.cell(),
                             each.zone()));
         }
@@ -187,7 +189,9 @@
                                         PROBE,
                                         () ->
                                                 recovery.probeEnded(
-                                                        origin, Ending.ACKED, agenda.now())));
+                                                        origin,
+                                                        AttemptOutcome.SUCCESS,
+                                                        agenda.now())));
     }
 
     @Override
--- a/src/main/java/cairnbridge/lab/model/RosterModel.java
+++ b/src/main/java/cairnbridge/lab/model/RosterModel.java
@@ -1,9 +1,9 @@
 package cairnbridge.lab.model;
 
 import cairnbridge.decision.Event;
-import cairnbridge.decision.Event.Entry;
-import cairnbridge.decision.Event.Scope;
-import cairnbridge.decision.Event.State;
+import cairnbridge.decision.Event.Endpoint;
+import cairnbridge.decision.Event.ListScope;
+import cairnbridge.decision.Event.NodeState;
 import cairnbridge.decision.Ids.CellId;
 import cairnbridge.decision.Ids.MachineKind;
 import cairnbridge.decision.Ids.NodeId;
@@ -27,7 +27,7 @@
     private static final long AGAIN = 2 * EventQueue.SECOND;
     private final EventQueue agenda;
     private final List<String> zones;
-    private final Map<NodeId, Entry> entries = new LinkedHashMap<>();
+    private final Map<NodeId, Endpoint> entries = new LinkedHashMap<>();
     private final Map<NodeId, Long> changedAt = new HashMap<>();
     private final Map<ProxyModel, Long> told = new LinkedHashMap<>();
     private final Set<String> down = new HashSet<>();
@@ -45,11 +45,11 @@
     }
 
     /** kind: 0 a cache, 1 the origin; began in tenths of a millisecond, 0 for long ago. */
-    public void put(String uid, int kind, String zone, State state, long began) {
+    public void put(String uid, int kind, String zone, NodeState state, long began) {
         NodeId node = id(uid);
         entries.put(
                 node,
-                new Entry(
+                new Endpoint(
                         node,
                         state,
                         new MachineKind(kind),
@@ -61,16 +61,16 @@
     }
 
     /** Changes the state of a node. */
-    public void state(String uid, State state) {
-        Entry old = entries.get(id(uid));
+    public void state(String uid, NodeState state) {
+        Endpoint old = entries.get(id(uid));
         entries.put(
                 id(uid),
-                new Entry(
+                new Endpoint(
                         old.node(),
                         state,
                         old.kind(),
                         old.size(),
-                        old.started(),
+                        old.startedAt(),
                         old.cell(),
                         old.zone()));
         changed(id(uid));
@@ -113,14 +113,16 @@
         if (seen == null || seen == version || down.contains(proxy.name())) {
             return;
         }
-        List<Entry> news = new ArrayList<>();
-        for (Entry entry : entries.values()) {
-            if (changedAt.get(entry.node()) > seen && (seen > 0 || entry.state() != State.GONE)) {
+        List<Endpoint> news = new ArrayList<>();
+        for (Endpoint entry : entries.values()) {
+            if (changedAt.get(entry.node()) > seen
+                    && (seen > 0 || entry.state() != NodeState.GONE)) {
                 news.add(entry);
             }
         }
-        Event.Roster roster =
-                new Event.Roster(seen == 0 ? Scope.FULL : Scope.CHANGES, version, news);
+        Event.EndpointListReceived roster =
+                new Event.EndpointListReceived(
+                        seen == 0 ? ListScope.FULL : ListScope.CHANGES, version, news);
         if (proxy.back() == null || proxy.back().listed(roster)) {
             told.put(proxy, version);
             proxy.tell(roster);
--- a/src/main/java/cairnbridge/lab/model/ZonesModel.java
+++ b/src/main/java/cairnbridge/lab/model/ZonesModel.java
@@ -91,13 +91,14 @@
     }
 
     /** Discovery has told this proxy. */
-    void listed(Event.Roster roster) {
+    void listed(Event.EndpointListReceived roster) {
         tally.endpointListChanged(roster);
-        if (roster.scope() != Event.Scope.CHANGES && !roster.entries().isEmpty()) {
+        if (roster.scope() != Event.ListScope.CHANGES && !roster.endpoints().isEmpty()) {
             servers.clear();
         }
-        for (Event.Entry entry : roster.entries()) {
-            if (entry.state() == Event.State.GONE || entry.kind().equals(settings.originKind())) {
+        for (Event.Endpoint entry : roster.endpoints()) {
+            if (entry.state() == Event.NodeState.GONE
+                    || entry.kind().equals(settings.originKind())) {
                 servers.remove(entry.node());
             } else {
                 servers.put(
@@ -105,9 +106,9 @@
                         new ListedNode(
                                 entry.node().value(),
                                 new Zone(zoneNames.get(entry.zone().value())),
-                                entry.state() == Event.State.READY,
+                                entry.state() == Event.NodeState.READY,
                                 entry.size(),
-                                entry.started() / EventQueue.MILLI));
+                                entry.startedAt() / EventQueue.MILLI));
             }
         }
     }
@@ -144,7 +145,7 @@
                                 tally.reachability().unreachableZones()),
                         config.reroutedShare());
         proxy.tell(
-                new Event.Placed(
+                new Event.PlacementChanged(
                         new ZoneRouter(
                                 route,
                                 zoneNames,
--- a/src/main/java/cairnbridge/lab/policy/Baseline.java
+++ b/src/main/java/cairnbridge/lab/policy/Baseline.java
@@ -1,11 +1,11 @@
 package cairnbridge.lab.policy;
 
 import cairnbridge.decision.Event;
-import cairnbridge.decision.Event.Ending;
-import cairnbridge.decision.Event.State;
+import cairnbridge.decision.Event.AttemptOutcome;
+import cairnbridge.decision.Event.NodeState;
 import cairnbridge.decision.Host;
 import cairnbridge.decision.Ids.NodeId;
-import cairnbridge.decision.Ids.OpId;
+import cairnbridge.decision.Ids.RequestId;
 import cairnbridge.decision.Settings;
 import cairnbridge.decision.Settings.Category;
 import cairnbridge.decision.Settings.Effect;
@@ -29,10 +29,10 @@
     private static final double BOUND = 1.25;
 
     private static final class Op {
-        final Event.OpArrived arrived;
+        final Event.RequestArrived arrived;
         int pushes;
 
-        Op(Event.OpArrived arrived) {
+        Op(Event.RequestArrived arrived) {
             this.arrived = arrived;
         }
     }
@@ -43,7 +43,7 @@
     private final RandomGenerator chance;
     private final TreeMap<Long, NodeId> ring = new TreeMap<>(Long::compareUnsigned);
     private final Map<NodeId, Integer> inFlight = new HashMap<>();
-    private final Map<OpId, Op> ops = new HashMap<>();
+    private final Map<RequestId, Op> ops = new HashMap<>();
     private List<NodeId> caches = new ArrayList<>();
     private NodeId origin;
     private int all;
@@ -57,26 +57,26 @@
 
     @Override
     public void handle(long now, Event event) {
-        if (event instanceof Event.Roster roster) {
-            roster.entries().forEach(this::listed);
-        } else if (event instanceof Event.OpArrived arrived) {
-            ops.put(arrived.op(), new Op(arrived));
-            first(ops.get(arrived.op()));
-        } else if (event instanceof Event.PushEnded ended) {
+        if (event instanceof Event.EndpointListReceived roster) {
+            roster.endpoints().forEach(this::listed);
+        } else if (event instanceof Event.RequestArrived arrived) {
+            ops.put(arrived.request(), new Op(arrived));
+            first(ops.get(arrived.request()));
+        } else if (event instanceof Event.AttemptEnded ended) {
             ended(ended);
-        } else if (event instanceof Event.OpDropped dropped) {
-            ops.remove(dropped.op());
+        } else if (event instanceof Event.RequestCancelled dropped) {
+            ops.remove(dropped.request());
         }
     }
 
-    private void listed(Event.Entry entry) {
+    private void listed(Event.Endpoint entry) {
         if (entry.kind().equals(settings.originKind())) {
             origin = entry.node();
             return;
         }
         caches.remove(entry.node());
         ring.values().removeIf(entry.node()::equals);
-        if (entry.state() == State.READY) {
+        if (entry.state() == NodeState.READY) {
             caches.add(entry.node());
             for (int i = 0; i < POINTS; i++) {
                 ring.put(SplitMix64.mix(entry.node().value(), i), entry.node());
@@ -85,11 +85,11 @@
     }
 
     private void first(Op op) {
-        NodeId node = op.arrived.write() ? origin : choose(op.arrived);
+        NodeId node = op.arrived.isWrite() ? origin : choose(op.arrived);
         push(op, node == null ? origin : node);
     }
 
-    private NodeId choose(Event.OpArrived op) {
+    private NodeId choose(Event.RequestArrived op) {
         if (caches.isEmpty()) {
             return null;
         }
@@ -133,37 +133,37 @@
 
     private void push(Op op, NodeId node) {
         if (node == null) {
-            ops.remove(op.arrived.op());
-            host.nack(op.arrived.op(), 0);
+            ops.remove(op.arrived.request());
+            host.rejectRetryable(op.arrived.request(), 0);
             return;
         }
         op.pushes++;
         all++;
         inFlight.merge(node, 1, Integer::sum);
-        host.push(op.arrived.op(), node, 0, op.arrived.expires());
+        host.sendAttempt(op.arrived.request(), node, 0, op.arrived.deadline());
     }
 
-    private void ended(Event.PushEnded ended) {
+    private void ended(Event.AttemptEnded ended) {
         all--;
         inFlight.merge(ended.node(), -1, Integer::sum);
-        Op op = ops.get(ended.op());
+        Op op = ops.get(ended.request());
         if (op == null) {
             return;
         }
         Category category = settings.categories().get(op.arrived.category().value());
-        boolean again = ended.ending().neverRan || category.effect() == Effect.REDELIVERABLE;
-        if (ended.ending() == Ending.ACKED || ended.over()) {
-            ops.remove(ended.op());
-        } else if (ended.ending() == Ending.MISS) {
+        boolean again = ended.outcome().provesNotExecuted || category.effect() == Effect.IDEMPOTENT;
+        if (ended.outcome() == AttemptOutcome.SUCCESS || ended.isRequestOver()) {
+            ops.remove(ended.request());
+        } else if (ended.outcome() == AttemptOutcome.CACHE_MISS) {
             push(op, origin);
         } else if (again && op.pushes < MOST_PUSHES) {
             first(op);
         } else {
-            ops.remove(ended.op());
+            ops.remove(ended.request());
             if (again) {
-                host.nack(ended.op(), 0);
+                host.rejectRetryable(ended.request(), 0);
             } else {
-                host.deadLetter(ended.op());
+                host.failPermanently(ended.request());
             }
         }
     }
--- a/src/main/java/cairnbridge/lab/policy/Policy.java
+++ b/src/main/java/cairnbridge/lab/policy/Policy.java
@@ -2,9 +2,9 @@
 
 import cairnbridge.decision.Event;
 import cairnbridge.decision.Host;
-import cairnbridge.decision.Learnt;
 import cairnbridge.decision.Router;
 import cairnbridge.decision.Settings;
+import cairnbridge.decision.WarmStartState;
 import java.util.Locale;
 
 /** What decides at one proxy: told of events, it acts on its host before it returns. */
@@ -13,14 +13,14 @@
     void handle(long now, Event event);
 
     /** What one that takes its place may start with. */
-    default Learnt learnt() {
-        return Learnt.NOTHING;
+    default WarmStartState learnt() {
+        return WarmStartState.EMPTY;
     }
 
     /** Makes one for a proxy that starts now. */
     interface Maker {
         /** A policy of one proxy. */
-        Policy make(Settings settings, long seed, long now, Host host, Learnt before);
+        Policy make(Settings settings, long seed, long now, Host host, WarmStartState before);
     }
 
     /** The policies that a run may name. */
@@ -47,7 +47,8 @@
         }
 
         @Override
-        public Policy make(Settings settings, long seed, long now, Host host, Learnt before) {
+        public Policy make(
+                Settings settings, long seed, long now, Host host, WarmStartState before) {
             if (this == ROUTER) {
                 Router router = new Router(settings, seed, now, host, before);
                 return new Policy() {
@@ -57,8 +58,8 @@
                     }
 
                     @Override
-                    public Learnt learnt() {
-                        return router.learnt();
+                    public WarmStartState learnt() {
+                        return router.warmStartState();
                     }
                 };
             }
--- a/src/main/java/cairnbridge/lab/run/EmulatedFleet.java
+++ b/src/main/java/cairnbridge/lab/run/EmulatedFleet.java
@@ -3,7 +3,7 @@
 import cairnbridge.config.JsonObject;
 import cairnbridge.config.SettingsReader;
 import cairnbridge.decision.Event;
-import cairnbridge.decision.Event.State;
+import cairnbridge.decision.Event.NodeState;
 import cairnbridge.decision.Ids.NodeId;
 import cairnbridge.decision.Settings;
 import cairnbridge.drill.scenario.ProxySettings;
@@ -90,7 +90,7 @@
             cache("c" + i, zone(i), 0);
         }
         uids.put(RosterModel.id("origin"), "origin");
-        roster.put("origin", 1, zone(1), State.READY, 0);
+        roster.put("origin", 1, zone(1), NodeState.READY, 0);
     }
 
     /**
@@ -110,7 +110,7 @@
         CacheModel cache = new CacheModel(agenda, zone);
         caches.put(uid, cache);
         uids.put(RosterModel.id(uid), uid);
-        roster.put(uid, 0, zone, State.READY, began);
+        roster.put(uid, 0, zone, NodeState.READY, began);
     }
 
     /** The proxies that run, are not frozen and hold a zone plan. */
@@ -152,7 +152,8 @@
                         settings, seed * 7_919 + life, agenda.now(), proxy, fleet.starts(proxy)));
         proxies.put(name, proxy);
         if (fleet.keeps()) {
-            heldNodes.forEach(uid -> proxy.tell(new Event.Held(RosterModel.id(uid), true)));
+            heldNodes.forEach(
+                    uid -> proxy.tell(new Event.MaintenanceChanged(RosterModel.id(uid), true)));
         }
         roster.follows(proxy);
         agenda.schedule(STARTS, () -> takeClients(proxy));
@@ -303,7 +304,9 @@
         } else {
             heldNodes.remove(uid);
         }
-        proxies.values().forEach(proxy -> proxy.tell(new Event.Held(RosterModel.id(uid), on)));
+        proxies.values()
+                .forEach(
+                        proxy -> proxy.tell(new Event.MaintenanceChanged(RosterModel.id(uid), on)));
         askedBefore.put(uid, caches.get(uid).asked());
     }
 
--- a/src/main/java/cairnbridge/lab/run/Emulation.java
+++ b/src/main/java/cairnbridge/lab/run/Emulation.java
@@ -1,7 +1,7 @@
 package cairnbridge.lab.run;
 
 import cairnbridge.config.ConfigurationException;
-import cairnbridge.decision.Event.State;
+import cairnbridge.decision.Event.NodeState;
 import cairnbridge.drill.scenario.Scenario;
 import cairnbridge.drill.scenario.ScenarioFault;
 import cairnbridge.drill.scenario.Step;
@@ -171,7 +171,7 @@
             case CACHE_KILL -> step.names(0).forEach(models::killCache);
             case CACHE_START -> step.names(0).forEach(models::startCache);
             case CACHE_LISTED -> {
-                State state = listedState(step.words().get(1));
+                NodeState state = listedState(step.words().get(1));
                 step.names(0).forEach(uid -> models.roster.state(uid, state));
             }
             case HOLD -> models.hold(step.words().get(0), true);
@@ -232,11 +232,11 @@
         return step.names(0).stream().map(uid -> models.caches.get(uid).behavior()).toList();
     }
 
-    private static State listedState(String word) {
+    private static NodeState listedState(String word) {
         return switch (word) {
-            case "Ready" -> State.READY;
-            case "Gone" -> State.GONE;
-            default -> State.DRAINING;
+            case "Ready" -> NodeState.READY;
+            case "Gone" -> NodeState.GONE;
+            default -> NodeState.DRAINING;
         };
     }
 
--- a/src/main/java/cairnbridge/lab/run/FleetSide.java
+++ b/src/main/java/cairnbridge/lab/run/FleetSide.java
@@ -1,8 +1,8 @@
 package cairnbridge.lab.run;
 
 import cairnbridge.config.FleetConfig;
-import cairnbridge.decision.Learnt;
 import cairnbridge.decision.Settings;
+import cairnbridge.decision.WarmStartState;
 import cairnbridge.drill.scenario.HomeParts;
 import cairnbridge.drill.scenario.Scenario;
 import cairnbridge.drill.simulated.SimulatedDisk;
@@ -59,7 +59,7 @@
     private static final long UNDISTURBED = 8 * EventQueue.SECOND;
 
     /** What a proxy's disk holds, and its list beside it. */
-    private record OnDisk(PersistedState kept, ReturnModel.Listed list, Learnt learnt) {}
+    private record OnDisk(PersistedState kept, ReturnModel.Listed list, WarmStartState learnt) {}
 
     private final Scenario scenario;
     private final Settings settings;
@@ -155,11 +155,11 @@
     }
 
     /** A proxy starts: what it begins with. To be called before its policy is made. */
-    Learnt starts(ProxyModel proxy) {
+    WarmStartState starts(ProxyModel proxy) {
         proxies.put(proxy.name(), proxy);
         undisturbed.put(proxy.name(), agenda.now());
         if (!scenario.together()) {
-            return Learnt.NOTHING;
+            return WarmStartState.EMPTY;
         }
         OnDisk disk =
                 disks.getOrDefault(
@@ -167,7 +167,7 @@
                         new OnDisk(
                                 PersistedState.empty(CLUSTER),
                                 ReturnModel.Listed.NONE,
-                                Learnt.NOTHING));
+                                WarmStartState.EMPTY));
         long unixMillis = agenda.now() / EventQueue.MILLI;
         long life = Math.max(unixMillis, lives.getOrDefault(proxy.name(), 0L) + 1);
         lives.put(proxy.name(), life);
@@ -184,7 +184,7 @@
         began.put(proxy.name(), agenda.now());
         zones.ifPresent(config -> plans(proxy, config, life));
         if (recovery.isEmpty()) {
-            return Learnt.NOTHING;
+            return WarmStartState.EMPTY;
         }
         RestoredState trusted =
                 new StateValidator(
@@ -229,7 +229,7 @@
                                                     : ReturnModel.Listed.NONE);
                                 }));
         proxy.returnsBy(model, settings.maxRetryAfter());
-        return trusted.isNodeTrustUsable() ? disk.learnt() : Learnt.NOTHING;
+        return trusted.isNodeTrustUsable() ? disk.learnt() : WarmStartState.EMPTY;
     }
 
     private void plans(ProxyModel proxy, ZoneSettings config, long life) {
@@ -439,7 +439,7 @@
             MembershipView view = plans != null || returns ? member.machine.view() : null;
             if (plans != null) {
                 plans.viewed(view);
-                plans.tally().nodesToProbe(agenda.now()).forEach(proxy::probe);
+                plans.tally().nodesToProbe(agenda.now()).forEach(proxy::checkHealth);
             }
             if (returns) {
                 back.seen(FleetSnapshot.of(view));
--- a/src/main/java/cairnbridge/proxy/Decide.java
+++ b/src/main/java/cairnbridge/proxy/Decide.java
@@ -4,15 +4,15 @@
 import cairnbridge.admin.ProxyMetrics.AttemptRejection;
 import cairnbridge.config.ProxyConfig;
 import cairnbridge.decision.Event;
-import cairnbridge.decision.Event.Ending;
+import cairnbridge.decision.Event.AttemptOutcome;
 import cairnbridge.decision.Host;
 import cairnbridge.decision.Ids.NodeId;
-import cairnbridge.decision.Ids.OpId;
 import cairnbridge.decision.Ids.PeerId;
+import cairnbridge.decision.Ids.RequestId;
 import cairnbridge.decision.Ids.TenantId;
 import cairnbridge.decision.Ids.TimerId;
-import cairnbridge.decision.Learnt;
 import cairnbridge.decision.Router;
+import cairnbridge.decision.WarmStartState;
 import cairnbridge.fleet.coordination.FleetLoadCounters;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -71,7 +71,7 @@
      * A time at which the module or one push is to be told, or at which one op must have been
      * answered.
      */
-    private record Timer(long due, long rank, TimerId timer, PushCall push, OpId op)
+    private record Timer(long due, long rank, TimerId timer, PushCall push, RequestId op)
             implements Comparable<Timer> {
         @Override
         public int compareTo(Timer other) {
@@ -85,7 +85,7 @@
     private final Probe probe;
     private final Router router;
     private final Holds holds = new Holds();
-    private final Map<OpId, Live> ops = new HashMap<>();
+    private final Map<RequestId, Live> ops = new HashMap<>();
     private final Set<String> open = new HashSet<>();
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
 
@@ -104,7 +104,7 @@
     private final long sweep;
     private volatile boolean stopped;
     private volatile int live;
-    private volatile Learnt learnt = Learnt.NOTHING;
+    private volatile WarmStartState learnt = WarmStartState.EMPTY;
 
     /** Null where no fleet is told of it. */
     private FleetLoadCounters tally;
@@ -118,7 +118,7 @@
             Clock clock,
             Sockets sockets,
             RosterWatch watch,
-            Learnt before,
+            WarmStartState before,
             ProxyMetrics figures) {
         this.figures = figures;
         this.inbox = inbox;
@@ -147,7 +147,7 @@
     }
 
     /** What the module had learnt a moment ago; any thread may ask. */
-    Learnt learnt() {
+    WarmStartState learnt() {
         return learnt;
     }
 
@@ -177,7 +177,7 @@
                 LOG.log(Level.SEVERE, "a notice failed", e);
             }
         }
-        learnt = router.learnt();
+        learnt = router.warmStartState();
     }
 
     private void turn() throws InterruptedException {
@@ -209,7 +209,7 @@
         if (now - sweptAt >= sweep) {
             sweptAt = now;
             push.dropIdle(now);
-            learnt = router.learnt();
+            learnt = router.warmStartState();
             if (tally != null) {
                 tally.publish(now);
             }
@@ -225,7 +225,7 @@
         } else if (timer.push != null) {
             Live op = ops.get(timer.push.client.op);
             if (op == null || op.stream != timer.push) {
-                abandon(timer.push, Ending.TIMED_OUT);
+                abandon(timer.push, AttemptOutcome.TIMED_OUT);
             }
         } else {
             tell(now, new Event.TimerFired(timer.timer));
@@ -250,7 +250,7 @@
         for (PushCall call : op.pushes) {
             if (op.stream == null && call.isOpen()) {
                 waits = true;
-                abandon(call, Ending.TIMED_OUT);
+                abandon(call, AttemptOutcome.TIMED_OUT);
             }
         }
         if (op.stream == null && !waits && !op.answered) {
@@ -262,7 +262,7 @@
     /** Nothing is owed for it any more, and the module has not said so itself. */
     private void dropped(Live op) {
         answered(op);
-        tell(clock.now(), new Event.OpDropped(op.client.op));
+        tell(clock.now(), new Event.RequestCancelled(op.client.op));
     }
 
     private void take(Notice notice) {
@@ -295,7 +295,8 @@
             }
             tell(
                     clock.now(),
-                    new Event.ProbeEnded(probed.node(), probed.ending(), probed.took(), null));
+                    new Event.HealthCheckEnded(
+                            probed.node(), probed.ending(), probed.took(), null));
         } else if (notice instanceof Notice.Hint hint) {
             tell(clock.now(), hint.event());
         } else if (notice instanceof Notice.Seen seen) {
@@ -303,7 +304,7 @@
         } else if (notice instanceof Notice.Older older) {
             recovery.older(older.version(), clock.now());
         } else if (notice instanceof Notice.Asked asked) {
-            probe(asked.node());
+            checkHealth(asked.node());
         } else if (notice instanceof Notice.Streams streams) {
             streams(streams);
         } else if (notice instanceof Notice.Spent spent) {
@@ -330,7 +331,7 @@
 
     private void arrived(Notice.Arrived arrived) {
         Exchange client = arrived.client();
-        client.op = new OpId(++lastOp);
+        client.op = new RequestId(++lastOp);
         if (client.isOver()) {
             return;
         }
@@ -352,7 +353,7 @@
         }
         tell(
                 clock.now(),
-                new Event.OpArrived(
+                new Event.RequestArrived(
                         client.op,
                         client.category,
                         NO_TENANT,
@@ -373,14 +374,14 @@
 
     private void ended(Notice.PushOver over) {
         PushCall call = over.call();
-        OpId id = call.client.op;
+        RequestId id = call.client.op;
         Live op = ops.get(id);
         push.done(
                 call,
-                over.ending() == Ending.ACKED
-                        || over.ending() == Ending.MISS
-                        || over.ending() == Ending.FULL
-                        || over.ending() == Ending.ERROR,
+                over.ending() == AttemptOutcome.SUCCESS
+                        || over.ending() == AttemptOutcome.CACHE_MISS
+                        || over.ending() == AttemptOutcome.OVERLOADED
+                        || over.ending() == AttemptOutcome.ERROR,
                 clock.now());
         if (!holds.that(op != null && op.open > 0, "a push ends once, while its op is kept")) {
             return;
@@ -404,7 +405,7 @@
         if (recovery != null) {
             recovery.ended(call, over.ending(), call.took(over.ended()), clock.now());
         }
-        if (over.ending() == Ending.ACKED
+        if (over.ending() == AttemptOutcome.SUCCESS
                 && !op.answered
                 && (op.stream == null || op.stream == call)) {
             if (op.stream == null) {
@@ -414,7 +415,7 @@
         }
         tell(
                 clock.now(),
-                new Event.PushEnded(
+                new Event.AttemptEnded(
                         id,
                         call.number,
                         call.node,
@@ -433,7 +434,7 @@
         // once.
         if (op == null || op.answered || op.stream != null || call.isAbandoned()) {
             streams.answer().drop();
-            abandon(call, Ending.CALLED_OFF);
+            abandon(call, AttemptOutcome.CANCELLED);
             return;
         }
         op.stream = call;
@@ -446,14 +447,16 @@
         began(call);
         for (PushCall other : op.pushes) {
             if (other != call) {
-                abandon(other, Ending.CALLED_OFF);
+                abandon(other, AttemptOutcome.CANCELLED);
             }
         }
     }
 
     private void began(PushCall call) {
         long now = clock.now();
-        tell(now, new Event.StreamBegan(call.client.op, call.number, call.node, call.took(now)));
+        tell(
+                now,
+                new Event.StreamingStarted(call.client.op, call.number, call.node, call.took(now)));
     }
 
     /** The process is to end: what it has taken is answered before. */
@@ -464,7 +467,7 @@
                 timers.add(new Timer(time, ++lastRank, null, null, op.client.op));
             }
         }
-        tell(clock.now(), new Event.StopBy(time));
+        tell(clock.now(), new Event.ShutdownScheduled(time));
     }
 
     private void bodyEnded(Notice.BodyEnded ended) {
@@ -477,7 +480,7 @@
 
     private void held(Notice.Held held) {
         push.hold(held.node(), held.on());
-        tell(clock.now(), new Event.Held(held.node(), held.on()));
+        tell(clock.now(), new Event.MaintenanceChanged(held.node(), held.on()));
         withdraw();
         held.done().complete(true);
     }
@@ -499,7 +502,7 @@
 
     private void refuse(PushCall call, AttemptRejection why) {
         figures.attemptRejected(why);
-        abandon(call, Ending.NEVER_SENT);
+        abandon(call, AttemptOutcome.NOT_SENT);
     }
 
     /** Guards against a second way to a node that is asked about nothing any more. */
@@ -515,7 +518,7 @@
         if (why != null) {
             refuse(call, why);
         } else if (!push.start(call)) {
-            abandon(call, Ending.NO_CONNECTION);
+            abandon(call, AttemptOutcome.CONNECT_FAILED);
         }
     }
 
@@ -529,20 +532,20 @@
         // Guards against a push that goes out after the answer, as its connection comes up.
         for (PushCall call : op.pushes) {
             if (call.isWaiting()) {
-                abandon(call, Ending.NEVER_SENT);
+                abandon(call, AttemptOutcome.NOT_SENT);
             }
         }
         forget(op.client.op, op);
     }
 
-    private void forget(OpId id, Live op) {
+    private void forget(RequestId id, Live op) {
         if (op.answered && op.open == 0) {
             ops.remove(id);
         }
     }
 
-    private void abandon(PushCall call, Ending ending) {
-        Ending real = call.abandon(ending);
+    private void abandon(PushCall call, AttemptOutcome ending) {
+        AttemptOutcome real = call.abandon(ending);
         if (real != null) {
             if (call.connection != null) {
                 call.connection.close();
@@ -552,7 +555,7 @@
     }
 
     @Override
-    public void push(OpId id, NodeId node, long timeOut, long latestBegin) {
+    public void sendAttempt(RequestId id, NodeId node, long timeOut, long latestBegin) {
         Live op = ops.get(id);
         if (!holds.that(op != null && !op.answered, "nothing is sent for an op after its answer")) {
             return;
@@ -572,7 +575,7 @@
         op.open++;
         long due = timeOut > 0 ? Math.min(op.expires, now + timeOut) : op.expires;
         if (due <= now) {
-            abandon(call, Ending.NEVER_SENT);
+            abandon(call, AttemptOutcome.NOT_SENT);
             return;
         }
         start(call);
@@ -582,24 +585,24 @@
     }
 
     @Override
-    public void cancel(OpId id, int number) {
+    public void cancelAttempt(RequestId id, int number) {
         Live op = ops.get(id);
         if (op != null && number < op.pushes.size()) {
-            abandon(op.pushes.get(number), Ending.CALLED_OFF);
+            abandon(op.pushes.get(number), AttemptOutcome.CANCELLED);
         }
     }
 
     @Override
-    public void nack(OpId id, long retryAfter) {
+    public void rejectRetryable(RequestId id, long retryAfter) {
         answer(id, client -> client.nack(retryAfter));
     }
 
     @Override
-    public void deadLetter(OpId id) {
+    public void failPermanently(RequestId id) {
         answer(id, Exchange::deadLetter);
     }
 
-    private void answer(OpId id, Consumer<Exchange> how) {
+    private void answer(RequestId id, Consumer<Exchange> how) {
         Live op = ops.get(id);
         if (holds.that(op != null && !op.answered, "an op has one final answer")) {
             how.accept(op.client);
@@ -608,38 +611,38 @@
     }
 
     @Override
-    public void timer(long in, TimerId timer) {
+    public void startTimer(long in, TimerId timer) {
         // Guards against a thread held up while the module decides: its spans count from what it
         // was told.
         timers.add(new Timer(toldAt + in, ++lastRank, timer, null, null));
     }
 
     @Override
-    public void probe(NodeId node) {
+    public void checkHealth(NodeId node) {
         probe.start(node, push.address(node));
     }
 
     @Override
-    public void tellPeer(PeerId peer, byte[] body) {
+    public void sendToPeer(PeerId peer, byte[] body) {
         holds.that(false, "the settings allow no messages to peers");
     }
 
     @Override
-    public void subscribe(boolean on) {
+    public void subscribeToEndpoints(boolean on) {
         if (watch != null) { // The rehearsal has none.
             watch.subscribe(on);
         }
     }
 
     @Override
-    public void fetchRoster() {
+    public void fetchEndpointList() {
         if (watch != null) {
             watch.fetch();
         }
     }
 
     @Override
-    public void avoids(int nodes) {
+    public void avoidedNodeCountChanged(int nodes) {
         figures.setAvoidedNodes(nodes);
     }
 
--- a/src/main/java/cairnbridge/proxy/Exchange.java
+++ b/src/main/java/cairnbridge/proxy/Exchange.java
@@ -4,7 +4,7 @@
 import cairnbridge.admin.ProxyMetrics.AttemptRejection;
 import cairnbridge.decision.Ids.CategoryId;
 import cairnbridge.decision.Ids.KeyId;
-import cairnbridge.decision.Ids.OpId;
+import cairnbridge.decision.Ids.RequestId;
 import cairnbridge.hash.Fnv1a;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -86,7 +86,7 @@
     byte[] value;
 
     /** Set by the owner thread. */
-    OpId op;
+    RequestId op;
 
     /** released is told when the library is done with it; cut ends the connection at once. */
     Exchange(Listen listen, Inbox inbox, Consumer<Exchange> released, Runnable cut) {
--- a/src/main/java/cairnbridge/proxy/FleetLink.java
+++ b/src/main/java/cairnbridge/proxy/FleetLink.java
@@ -102,7 +102,7 @@
                         config.settings().categories(),
                         tally.requestsPerSecondByCategory(),
                         placed);
-        inbox.first(new Notice.Hint(new Event.Placed(router)));
+        inbox.first(new Notice.Hint(new Event.PlacementChanged(router)));
     }
 
     /** Before anything starts. */
@@ -146,12 +146,12 @@
 
     @Override
     public void proxyCountChanged(int proxies) {
-        inbox.first(new Notice.Hint(new Event.Proxies(proxies)));
+        inbox.first(new Notice.Hint(new Event.LiveProxyCountChanged(proxies)));
     }
 
     @Override
     public void nodeSuspected(long node) {
-        inbox.first(new Notice.Hint(new Event.Doubted(new NodeId(node))));
+        inbox.first(new Notice.Hint(new Event.NodeSuspected(new NodeId(node))));
     }
 
     @Override
--- a/src/main/java/cairnbridge/proxy/Get.java
+++ b/src/main/java/cairnbridge/proxy/Get.java
@@ -1,6 +1,6 @@
 package cairnbridge.proxy;
 
-import cairnbridge.decision.Event.Ending;
+import cairnbridge.decision.Event.AttemptOutcome;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -49,9 +49,9 @@
      * Once: ACKED where the answer came to its end, whatever its status, else how the connection
      * failed.
      */
-    abstract void over(Ending how);
+    abstract void over(AttemptOutcome how);
 
-    private void end(Ending how) {
+    private void end(AttemptOutcome how) {
         if (!over) {
             over = true;
             over(how);
@@ -76,7 +76,7 @@
         begun(response.getCode());
         if (entity == null) {
             answered();
-            end(Ending.ACKED);
+            end(AttemptOutcome.SUCCESS);
         }
     }
 
@@ -106,12 +106,15 @@
             flush();
         }
         answered();
-        end(Ending.ACKED);
+        end(AttemptOutcome.SUCCESS);
     }
 
     @Override
     public void failed(Exception cause) {
-        Ending late = cause instanceof SocketTimeoutException ? Ending.TIMED_OUT : Ending.BROKEN;
-        end(sent ? late : Ending.NO_CONNECTION);
+        AttemptOutcome late =
+                cause instanceof SocketTimeoutException
+                        ? AttemptOutcome.TIMED_OUT
+                        : AttemptOutcome.CONNECTION_LOST;
+        end(sent ? late : AttemptOutcome.CONNECT_FAILED);
     }
 }
--- a/src/main/java/cairnbridge/proxy/Notice.java
+++ b/src/main/java/cairnbridge/proxy/Notice.java
@@ -1,7 +1,7 @@
 package cairnbridge.proxy;
 
 import cairnbridge.decision.Event;
-import cairnbridge.decision.Event.Ending;
+import cairnbridge.decision.Event.AttemptOutcome;
 import cairnbridge.decision.Ids.NodeId;
 import cairnbridge.recovery.FleetSnapshot;
 import java.net.InetSocketAddress;
@@ -17,7 +17,7 @@
     record Left(Exchange client) implements Notice {}
 
     /** body is the answer's bytes where the ending is ACKED; ended is the time of its last byte. */
-    record PushOver(PushCall call, Ending ending, int note, byte[] body, long ended)
+    record PushOver(PushCall call, AttemptOutcome ending, int note, byte[] body, long ended)
             implements Notice {}
 
     /**
@@ -38,11 +38,11 @@
     record ConnectionClosed(Connection connection) implements Notice {}
 
     /** An endpoint list has come. */
-    record Listed(Event.Roster roster, Map<NodeId, InetSocketAddress> addresses)
+    record Listed(Event.EndpointListReceived roster, Map<NodeId, InetSocketAddress> addresses)
             implements Notice {}
 
     /** A probe has ended. */
-    record Probed(NodeId node, Ending ending, long took) implements Notice {}
+    record Probed(NodeId node, AttemptOutcome ending, long took) implements Notice {}
 
     /** The socket budget is spent: an idle connection to a node makes room. */
     record Crowded() implements Notice {}
--- a/src/main/java/cairnbridge/proxy/Probe.java
+++ b/src/main/java/cairnbridge/proxy/Probe.java
@@ -1,7 +1,7 @@
 package cairnbridge.proxy;
 
 import cairnbridge.config.ProxyConfig;
-import cairnbridge.decision.Event.Ending;
+import cairnbridge.decision.Event.AttemptOutcome;
 import cairnbridge.decision.Ids.NodeId;
 import java.net.InetSocketAddress;
 
@@ -27,7 +27,7 @@
     /** address is null for a node that no list has named. */
     void start(NodeId node, InetSocketAddress address) {
         if (address == null || sockets.isFull()) {
-            inbox.post(new Notice.Probed(node, Ending.NO_CONNECTION, 0));
+            inbox.post(new Notice.Probed(node, AttemptOutcome.CONNECT_FAILED, 0));
         } else {
             sockets.dial(address, timeOut, timeOut, new Asked(node, address, clock.now()));
         }
@@ -55,8 +55,9 @@
         }
 
         @Override
-        void over(Ending how) {
-            Ending ending = how == Ending.ACKED && code != OK ? Ending.ERROR : how;
+        void over(AttemptOutcome how) {
+            AttemptOutcome ending =
+                    how == AttemptOutcome.SUCCESS && code != OK ? AttemptOutcome.ERROR : how;
             inbox.post(new Notice.Probed(node, ending, clock.now() - sent));
             connection.close();
         }
--- a/src/main/java/cairnbridge/proxy/Push.java
+++ b/src/main/java/cairnbridge/proxy/Push.java
@@ -1,9 +1,9 @@
 package cairnbridge.proxy;
 
 import cairnbridge.decision.Event;
-import cairnbridge.decision.Event.Entry;
-import cairnbridge.decision.Event.Scope;
-import cairnbridge.decision.Event.State;
+import cairnbridge.decision.Event.Endpoint;
+import cairnbridge.decision.Event.ListScope;
+import cairnbridge.decision.Event.NodeState;
 import cairnbridge.decision.Ids.NodeId;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
@@ -42,15 +42,16 @@
      * Learns where the nodes are. Kept connections to a node that is no longer ready, or not named,
      * go.
      */
-    void listed(Event.Roster roster, Map<NodeId, InetSocketAddress> fresh) {
+    void listed(Event.EndpointListReceived roster, Map<NodeId, InetSocketAddress> fresh) {
         // Guards against a list that has lost its contents: as in the module, what is held stays in
         // use.
-        if (!fresh.isEmpty() && (roster.scope() == Scope.CACHED || roster.scope() == Scope.FULL)) {
+        if (!fresh.isEmpty()
+                && (roster.scope() == ListScope.CACHED || roster.scope() == ListScope.FULL)) {
             addresses.clear();
         }
         addresses.putAll(fresh);
-        for (Entry entry : roster.entries()) {
-            if (entry.state() != State.READY) {
+        for (Endpoint entry : roster.endpoints()) {
+            if (entry.state() != NodeState.READY) {
                 addresses.remove(entry.node());
             }
         }
--- a/src/main/java/cairnbridge/proxy/PushCall.java
+++ b/src/main/java/cairnbridge/proxy/PushCall.java
@@ -2,7 +2,7 @@
 
 import cairnbridge.admin.ProxyMetrics;
 import cairnbridge.admin.ProxyMetrics.AttemptRejection;
-import cairnbridge.decision.Event.Ending;
+import cairnbridge.decision.Event.AttemptOutcome;
 import cairnbridge.decision.Ids.NodeId;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -87,14 +87,14 @@
     /**
      * Gives the push up: its ending, or null where it had ended. The caller closes the connection.
      */
-    Ending abandon(Ending ending) {
+    AttemptOutcome abandon(AttemptOutcome ending) {
         Stage before = stage.getAndSet(Stage.ENDED);
         if (before == Stage.ENDED) {
             return null;
         }
         abandoned = true;
-        return before == Stage.WAITING && ending == Ending.TIMED_OUT
-                ? Ending.NO_CONNECTION
+        return before == Stage.WAITING && ending == AttemptOutcome.TIMED_OUT
+                ? AttemptOutcome.CONNECT_FAILED
                 : ending;
     }
 
@@ -112,13 +112,13 @@
         return stage.get() == Stage.WAITING;
     }
 
-    private void end(Ending ending, byte[] body) {
+    private void end(AttemptOutcome ending, byte[] body) {
         if (stage.getAndSet(Stage.ENDED) != Stage.ENDED) {
             over(ending, body);
         }
     }
 
-    private void over(Ending ending, byte[] body) {
+    private void over(AttemptOutcome ending, byte[] body) {
         inbox.post(new Notice.PushOver(this, ending, note, body, clock.now()));
     }
 
@@ -144,7 +144,7 @@
         if (client.pipe != null) {
             // Guards against two pushes that share out one body between them.
             if (!client.pipe.claim()) {
-                end(Ending.NEVER_SENT, null);
+                end(AttemptOutcome.NOT_SENT, null);
                 throw new IOException("the body is on its way elsewhere");
             }
             inbox.post(new Notice.Spent(this));
@@ -177,7 +177,7 @@
             if (isOpen()) {
                 figures.attemptRejected(why);
             }
-            end(Ending.NEVER_SENT, null);
+            end(AttemptOutcome.NOT_SENT, null);
             throw new IOException("attempt refused, " + why);
         }
     }
@@ -274,12 +274,14 @@
                 if (stream != null) {
                     stream.end();
                 }
-                end(Ending.ACKED, stream == null ? answer.all() : null);
+                end(AttemptOutcome.SUCCESS, stream == null ? answer.all() : null);
             }
-            case 404 -> end(Ending.MISS, null);
+            case 404 -> end(AttemptOutcome.CACHE_MISS, null);
             default ->
                     end(
-                            neverRan && (code == 503 || code == 504) ? Ending.FULL : Ending.ERROR,
+                            neverRan && (code == 503 || code == 504)
+                                    ? AttemptOutcome.OVERLOADED
+                                    : AttemptOutcome.ERROR,
                             null);
         }
     }
@@ -297,7 +299,11 @@
         }
         Stage before = stage.getAndSet(Stage.ENDED);
         if (before != Stage.ENDED) {
-            over(before == Stage.WAITING ? Ending.NO_CONNECTION : Ending.BROKEN, null);
+            over(
+                    before == Stage.WAITING
+                            ? AttemptOutcome.CONNECT_FAILED
+                            : AttemptOutcome.CONNECTION_LOST,
+                    null);
         }
     }
 }
--- a/src/main/java/cairnbridge/proxy/RecoveryLink.java
+++ b/src/main/java/cairnbridge/proxy/RecoveryLink.java
@@ -2,7 +2,7 @@
 
 import cairnbridge.config.ProxyConfig;
 import cairnbridge.decision.Event;
-import cairnbridge.decision.Event.Ending;
+import cairnbridge.decision.Event.AttemptOutcome;
 import cairnbridge.decision.Ids.NodeId;
 import cairnbridge.decision.Settings;
 import cairnbridge.fleet.FleetMember;
@@ -108,7 +108,7 @@
         return verdict.kind() == AdmissionDecision.Kind.ADMITTED;
     }
 
-    void ended(PushCall call, Ending ending, long took, long now) {
+    void ended(PushCall call, AttemptOutcome ending, long took, long now) {
         recovery.attemptEnded(call.client.op, call.node, ending, took, now);
     }
 
@@ -116,7 +116,7 @@
         recovery.requestAnswered(client.op);
     }
 
-    void listed(Event.Roster roster, long now) {
+    void listed(Event.EndpointListReceived roster, long now) {
         recovery.endpointListChanged(roster, now);
         publish(now);
     }
@@ -127,7 +127,7 @@
         publish(now);
     }
 
-    void probed(NodeId node, Ending ending, long now) {
+    void probed(NodeId node, AttemptOutcome ending, long now) {
         recovery.probeEnded(node, ending, now);
     }
 
--- a/src/main/java/cairnbridge/proxy/RosterWatch.java
+++ b/src/main/java/cairnbridge/proxy/RosterWatch.java
@@ -5,16 +5,16 @@
 import cairnbridge.config.IpAddresses;
 import cairnbridge.config.JsonObject;
 import cairnbridge.config.ProxyConfig;
-import cairnbridge.decision.Bounds;
 import cairnbridge.decision.Event;
-import cairnbridge.decision.Event.Ending;
-import cairnbridge.decision.Event.Entry;
-import cairnbridge.decision.Event.Scope;
-import cairnbridge.decision.Event.State;
+import cairnbridge.decision.Event.AttemptOutcome;
+import cairnbridge.decision.Event.Endpoint;
+import cairnbridge.decision.Event.ListScope;
+import cairnbridge.decision.Event.NodeState;
 import cairnbridge.decision.Ids.CellId;
 import cairnbridge.decision.Ids.MachineKind;
 import cairnbridge.decision.Ids.NodeId;
 import cairnbridge.decision.Ids.ZoneId;
+import cairnbridge.decision.TimeBudget;
 import cairnbridge.hash.Fnv1a;
 import cairnbridge.recovery.EndpointListHistory;
 import cairnbridge.zones.plan.ListedNode;
@@ -73,7 +73,7 @@
     /** Null where lists are not kept over a loss of power. */
     private EndpointListHistory book;
 
-    private long waitMillis = Bounds.LEAST_WAIT_MILLIS;
+    private long waitMillis = TimeBudget.MIN_BACKOFF_MILLIS;
     private boolean started;
     private boolean wanted;
     private boolean listed;
@@ -111,7 +111,7 @@
     /** The list as this proxy last had it, then the watch, unless the module has to ask for it. */
     void start() {
         if (config.initialEndpoints().has("targets")) {
-            tell(config.initialEndpoints(), Scope.CACHED);
+            tell(config.initialEndpoints(), ListScope.CACHED);
         }
         timer.execute(
                 () -> {
@@ -122,7 +122,10 @@
                     }
                 });
         timer.scheduleWithFixedDelay(
-                this::look, Bounds.LOOK_MILLIS, Bounds.LOOK_MILLIS, TimeUnit.MILLISECONDS);
+                this::look,
+                TimeBudget.CHECK_INTERVAL_MILLIS,
+                TimeBudget.CHECK_INTERVAL_MILLIS,
+                TimeUnit.MILLISECONDS);
     }
 
     /**
@@ -131,7 +134,9 @@
      * process's first moment.
      */
     void awaitFirst() throws InterruptedException {
-        first.await(Bounds.CALL_MILLIS + Bounds.LOOK_MILLIS, TimeUnit.MILLISECONDS);
+        first.await(
+                TimeBudget.CALL_TIMEOUT_MILLIS + TimeBudget.CHECK_INTERVAL_MILLIS,
+                TimeUnit.MILLISECONDS);
     }
 
     void subscribe(boolean on) {
@@ -169,7 +174,7 @@
         Watching now = watching;
         return now != null
                 && now.code == OK
-                && millisSince(now.heard) < Bounds.HEARTBEAT_MILLIS * 3 / 2;
+                && millisSince(now.heard) < TimeBudget.HEARTBEAT_MILLIS * 3 / 2;
     }
 
     /** Lists are put down in the book from now on; before the start. */
@@ -193,7 +198,7 @@
                         return; // Discovery was faster.
                     }
                     try {
-                        tell(JsonObject.parse(text, "kept list"), Scope.CACHED);
+                        tell(JsonObject.parse(text, "kept list"), ListScope.CACHED);
                         listed = false; // The first call asks for the whole list.
                         book.lineReceived(text);
                     } catch (ConfigurationException e) {
@@ -232,7 +237,7 @@
                     }
                     discovery = there;
                     listed = false;
-                    waitMillis = Bounds.LEAST_WAIT_MILLIS;
+                    waitMillis = TimeBudget.MIN_BACKOFF_MILLIS;
                     Watching old = watching;
                     if (wanted) {
                         open();
@@ -257,7 +262,8 @@
         if (call == null) {
             return;
         }
-        long most = call.code == 0 ? Bounds.CALL_MILLIS : Bounds.SILENCE_MILLIS;
+        long most =
+                call.code == 0 ? TimeBudget.CALL_TIMEOUT_MILLIS : TimeBudget.WATCH_SILENCE_MILLIS;
         if (millisSince(call.heard) >= most) {
             LOG.warning(
                     "roster: the "
@@ -278,14 +284,15 @@
         endedAt = System.nanoTime();
         // Guards against a wait grown long before: one that has held for a while is called again at
         // once.
-        if (call.code == OK && millisSince(call.began) >= Bounds.HEARTBEAT_MILLIS) {
-            waitMillis = Bounds.LEAST_WAIT_MILLIS;
+        if (call.code == OK && millisSince(call.began) >= TimeBudget.HEARTBEAT_MILLIS) {
+            waitMillis = TimeBudget.MIN_BACKOFF_MILLIS;
         }
         if (config.settings().mustSubscribe()) {
             wanted = false;
             inbox.post(
                     new Notice.Listed(
-                            new Event.Roster(Scope.FAILED, version, List.of()), Map.of()));
+                            new Event.EndpointListReceived(ListScope.FAILED, version, List.of()),
+                            Map.of()));
         } else if (wanted) {
             if (!lost) {
                 lost = true;
@@ -299,13 +306,13 @@
      * Backoff with jitter, bounded from the end of the last call on, whoever else may be to call.
      */
     private void callAgain() {
-        long left = Bounds.MOST_BACKOFF_MILLIS - millisSince(endedAt);
+        long left = TimeBudget.MAX_BACKOFF_MILLIS - millisSince(endedAt);
         long wait = waitMillis / 2 + chance.nextLong(waitMillis / 2 + 1);
-        waitMillis = Math.min(Bounds.MOST_BACKOFF_MILLIS, waitMillis * 2);
+        waitMillis = Math.min(TimeBudget.MAX_BACKOFF_MILLIS, waitMillis * 2);
         timer.schedule(
                 () -> {
                     if (wanted && watching == null) {
-                        boolean due = millisSince(endedAt) >= Bounds.MOST_BACKOFF_MILLIS;
+                        boolean due = millisSince(endedAt) >= TimeBudget.MAX_BACKOFF_MILLIS;
                         if (due || mayCall.test(millisSince(calledAt))) {
                             open();
                         } else {
@@ -334,8 +341,8 @@
             if (book != null) {
                 book.lineReceived(text);
             }
-            tell(tree, tree.flag("all") ? Scope.FULL : Scope.CHANGES);
-            waitMillis = Bounds.LEAST_WAIT_MILLIS;
+            tell(tree, tree.flag("all") ? ListScope.FULL : ListScope.CHANGES);
+            waitMillis = TimeBudget.MIN_BACKOFF_MILLIS;
             if (lost) {
                 lost = false;
                 LOG.info("roster: the watch is back, version " + version);
@@ -352,20 +359,20 @@
         }
     }
 
-    private void tell(JsonObject tree, Scope scope) {
-        List<Entry> entries = new ArrayList<>();
+    private void tell(JsonObject tree, ListScope scope) {
+        List<Endpoint> entries = new ArrayList<>();
         Map<NodeId, InetSocketAddress> addresses = new HashMap<>();
         for (JsonObject each : tree.objects("targets")) {
             String uid = each.text("uid", "");
             InetSocketAddress address = IpAddresses.parse(each.text("endpoint", "")).orElse(null);
-            State state =
+            NodeState state =
                     switch (each.text("state", "")) {
-                        case "Ready" -> State.READY;
-                        case "Terminating" -> State.DRAINING;
-                        case "Gone" -> State.GONE;
+                        case "Ready" -> NodeState.READY;
+                        case "Terminating" -> NodeState.DRAINING;
+                        case "Gone" -> NodeState.GONE;
                         default -> null;
                     };
-            if (uid.isEmpty() || state == null || address == null && state != State.GONE) {
+            if (uid.isEmpty() || state == null || address == null && state != NodeState.GONE) {
                 odd.say("entry ignored, uid '" + uid + "' state '" + each.text("state", "") + "'");
                 continue;
             }
@@ -373,8 +380,8 @@
             if (address != null) {
                 addresses.put(node, address);
             }
-            Entry entry =
-                    new Entry(
+            Endpoint entry =
+                    new Endpoint(
                             node,
                             state,
                             new MachineKind(
@@ -387,20 +394,23 @@
             serves(entry, new Zone(each.text("az", "")));
         }
         names(scope, entries);
-        if (scope != Scope.CHANGES && !entries.isEmpty()) {
+        if (scope != ListScope.CHANGES && !entries.isEmpty()) {
             servers.keySet().retainAll(nodes.keySet());
         }
         version = (long) tree.number("rev", version);
         listed = true;
-        inbox.post(new Notice.Listed(new Event.Roster(scope, version, entries), addresses));
-        if (scope != Scope.CACHED) {
+        inbox.post(
+                new Notice.Listed(
+                        new Event.EndpointListReceived(scope, version, entries), addresses));
+        if (scope != ListScope.CACHED) {
             first.countDown();
         }
     }
 
     /** A kind that nobody has named is a cache's, as in the module. */
-    private void serves(Entry entry, Zone zone) {
-        if (entry.state() == State.GONE || entry.kind().equals(config.settings().originKind())) {
+    private void serves(Endpoint entry, Zone zone) {
+        if (entry.state() == NodeState.GONE
+                || entry.kind().equals(config.settings().originKind())) {
             servers.remove(entry.node());
         } else {
             servers.put(
@@ -408,9 +418,9 @@
                     new ListedNode(
                             entry.node().value(),
                             zone,
-                            entry.state() == State.READY,
+                            entry.state() == NodeState.READY,
                             entry.size(),
-                            entry.started() / Clock.MILLI));
+                            entry.startedAt() / Clock.MILLI));
         }
     }
 
@@ -420,12 +430,12 @@
     }
 
     /** An empty list leaves the one held in use. */
-    private void names(Scope scope, List<Entry> entries) {
-        if (scope != Scope.CHANGES && !entries.isEmpty()) {
+    private void names(ListScope scope, List<Endpoint> entries) {
+        if (scope != ListScope.CHANGES && !entries.isEmpty()) {
             nodes.clear();
         }
-        for (Entry entry : entries) {
-            if (entry.state() == State.GONE) {
+        for (Endpoint entry : entries) {
+            if (entry.state() == NodeState.GONE) {
                 nodes.remove(entry.node());
             } else {
                 nodes.put(entry.node(), !entry.kind().equals(config.settings().originKind()));
@@ -490,7 +500,8 @@
             code = status;
             heard = System.nanoTime();
             // What there is to tell comes with the head; nothing has changed where nothing does.
-            timer.schedule(first::countDown, Bounds.LOOK_MILLIS, TimeUnit.MILLISECONDS);
+            timer.schedule(
+                    first::countDown, TimeBudget.CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         }
 
         @Override
@@ -512,13 +523,15 @@
         }
 
         @Override
-        void over(Ending how) {
+        void over(AttemptOutcome how) {
             connection.close();
             if (standing) {
                 timer.execute(() -> ended(this));
             } else if (code != OK) {
                 inbox.post(
-                        new Notice.Listed(new Event.Roster(Scope.FAILED, 0, List.of()), Map.of()));
+                        new Notice.Listed(
+                                new Event.EndpointListReceived(ListScope.FAILED, 0, List.of()),
+                                Map.of()));
             }
         }
     }
--- a/src/main/java/cairnbridge/proxy/Serve.java
+++ b/src/main/java/cairnbridge/proxy/Serve.java
@@ -6,8 +6,8 @@
 import cairnbridge.config.ConfigurationException;
 import cairnbridge.config.FleetConfig;
 import cairnbridge.config.ProxyConfig;
-import cairnbridge.decision.Bounds;
-import cairnbridge.decision.Learnt;
+import cairnbridge.decision.TimeBudget;
+import cairnbridge.decision.WarmStartState;
 import cairnbridge.fleet.FleetMember;
 import cairnbridge.fleet.coordination.FleetLoadCounters;
 import cairnbridge.recovery.StateKeeper;
@@ -76,15 +76,15 @@
     /**
      * before: what the one before had learnt, from a better source than the configuration's file.
      */
-    public Serve(ProxyConfig config, Runnable whenBroken, Learnt before) {
+    public Serve(ProxyConfig config, Runnable whenBroken, WarmStartState before) {
         this(config, whenBroken, new Clock(), before);
     }
 
     Serve(ProxyConfig config, Runnable whenBroken, Clock clock) {
-        this(config, whenBroken, clock, Learnt.NOTHING);
+        this(config, whenBroken, clock, WarmStartState.EMPTY);
     }
 
-    private Serve(ProxyConfig config, Runnable whenBroken, Clock clock, Learnt before) {
+    private Serve(ProxyConfig config, Runnable whenBroken, Clock clock, WarmStartState before) {
         this.config = config;
         this.whenBroken = whenBroken;
         inbox = new Inbox(NOTICES_PER_SOCKET * config.network().maxSockets());
@@ -110,7 +110,7 @@
                         inbox,
                         node -> watch.names(node) || !watch.hasNames(),
                         beside::isShared);
-        Learnt learnt = config.readWarmStart();
+        WarmStartState learnt = config.readWarmStart();
         decide =
                 new Decide(
                         config,
@@ -118,7 +118,7 @@
                         clock,
                         sockets,
                         watch,
-                        before.at() > learnt.at() ? before : learnt,
+                        before.recordedAt() > learnt.recordedAt() ? before : learnt,
                         figures);
         owner = vital(decide);
         owner.setName(OWNER);
@@ -337,14 +337,17 @@
         long longestMillis = longest / Clock.MILLI;
         // Guards against a TTL of the settings that is longer than the platform waits before it
         // kills.
-        long serves = Bounds.stopServesMillis(longestMillis);
-        long until = System.nanoTime() + Bounds.stopEndsMillis(longestMillis) * 1_000_000;
-        long answers = listen.clock.now() + Bounds.stopAnswersMillis(longestMillis) * Clock.MILLI;
+        long serves = TimeBudget.shutdownServingMillis(longestMillis);
+        long until = System.nanoTime() + TimeBudget.shutdownEndMillis(longestMillis) * 1_000_000;
+        long answers =
+                listen.clock.now()
+                        + TimeBudget.shutdownAnsweringMillis(longestMillis) * Clock.MILLI;
         listen.endsBy(answers);
         inbox.post(new Notice.StopBy(answers));
         try {
             if (beside.isReplaced()) {
-                handOver(until - (Bounds.stopEndsMillis(longestMillis) - serves) * 1_000_000);
+                handOver(
+                        until - (TimeBudget.shutdownEndMillis(longestMillis) - serves) * 1_000_000);
             } else {
                 // Guards against a gap while the one restarted before is not ready yet: clients
                 // whose
--- a/src/main/java/cairnbridge/proxy/Warm.java
+++ b/src/main/java/cairnbridge/proxy/Warm.java
@@ -3,15 +3,15 @@
 import cairnbridge.admin.ProxyMetrics;
 import cairnbridge.config.ProxyConfig;
 import cairnbridge.decision.Event;
-import cairnbridge.decision.Event.Ending;
-import cairnbridge.decision.Event.Entry;
-import cairnbridge.decision.Event.Scope;
-import cairnbridge.decision.Event.State;
+import cairnbridge.decision.Event.AttemptOutcome;
+import cairnbridge.decision.Event.Endpoint;
+import cairnbridge.decision.Event.ListScope;
+import cairnbridge.decision.Event.NodeState;
 import cairnbridge.decision.Ids.CellId;
 import cairnbridge.decision.Ids.MachineKind;
 import cairnbridge.decision.Ids.NodeId;
 import cairnbridge.decision.Ids.ZoneId;
-import cairnbridge.decision.Learnt;
+import cairnbridge.decision.WarmStartState;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.List;
@@ -69,7 +69,7 @@
                         listen.clock,
                         sockets,
                         null,
-                        Learnt.NOTHING,
+                        WarmStartState.EMPTY,
                         new ProxyMetrics(config.names().categories()));
         Thread owner = new Thread(decide, "warm");
         owner.start();
@@ -100,12 +100,14 @@
         owner.join();
     }
 
-    private static Entry entry(NodeId node, MachineKind kind) {
-        return new Entry(node, State.READY, kind, 1, 0, new CellId(0), new ZoneId(0));
+    private static Endpoint entry(NodeId node, MachineKind kind) {
+        return new Endpoint(node, NodeState.READY, kind, 1, 0, new CellId(0), new ZoneId(0));
     }
 
-    private void tell(List<Entry> entries, Map<NodeId, InetSocketAddress> addresses) {
-        inbox.post(new Notice.Listed(new Event.Roster(Scope.FULL, 1, entries), addresses));
+    private void tell(List<Endpoint> entries, Map<NodeId, InetSocketAddress> addresses) {
+        inbox.post(
+                new Notice.Listed(
+                        new Event.EndpointListReceived(ListScope.FULL, 1, entries), addresses));
     }
 
     boolean owns(String trace) {
@@ -200,8 +202,8 @@
             }
 
             @Override
-            void over(Ending how) {
-                if (how == Ending.ACKED) {
+            void over(AttemptOutcome how) {
+                if (how == AttemptOutcome.SUCCESS) {
                     next();
                 } else {
                     end();
--- a/src/main/java/cairnbridge/recovery/CategoryPriorities.java
+++ b/src/main/java/cairnbridge/recovery/CategoryPriorities.java
@@ -13,12 +13,12 @@
 
     CategoryPriorities(List<Category> categories) {
         List<Double> benefits =
-                categories.stream().map(Category::benefit).distinct().sorted().toList();
+                categories.stream().map(Category::priorityWeight).distinct().sorted().toList();
         int top = benefits.size() - 1;
         limitShares = new double[categories.size()];
         highest = new boolean[categories.size()];
         for (int i = 0; i < limitShares.length; i++) {
-            int rank = benefits.indexOf(categories.get(i).benefit());
+            int rank = benefits.indexOf(categories.get(i).priorityWeight());
             limitShares[i] = top == 0 ? 1 : LOWEST_SHARE + (1 - LOWEST_SHARE) * rank / top;
             highest[i] = top > 0 && rank == top;
         }
--- a/src/main/java/cairnbridge/recovery/IncomingRequest.java
+++ b/src/main/java/cairnbridge/recovery/IncomingRequest.java
@@ -2,7 +2,7 @@
 
 import cairnbridge.decision.Ids.CategoryId;
 import cairnbridge.decision.Ids.KeyId;
-import cairnbridge.decision.Ids.OpId;
+import cairnbridge.decision.Ids.RequestId;
 
 /**
  * A new request, as far as recovery looks at it.
@@ -15,7 +15,12 @@
  * @param expires when the client stops waiting
  */
 public record IncomingRequest(
-        OpId request, CategoryId category, KeyId key, boolean write, boolean repeat, long expires) {
+        RequestId request,
+        CategoryId category,
+        KeyId key,
+        boolean write,
+        boolean repeat,
+        long expires) {
     /** Whether it reads a key. */
     boolean isKeyedRead() {
         return !write && key != null;
--- a/src/main/java/cairnbridge/recovery/NodeStartTimes.java
+++ b/src/main/java/cairnbridge/recovery/NodeStartTimes.java
@@ -1,8 +1,8 @@
 package cairnbridge.recovery;
 
 import cairnbridge.decision.Event;
-import cairnbridge.decision.Event.Scope;
-import cairnbridge.decision.Event.State;
+import cairnbridge.decision.Event.ListScope;
+import cairnbridge.decision.Event.NodeState;
 import cairnbridge.decision.Ids.MachineKind;
 import cairnbridge.decision.Ids.NodeId;
 import java.util.HashMap;
@@ -20,17 +20,17 @@
     }
 
     /** Applies a change; an empty list leaves the one before in use. */
-    void endpointListChanged(Event.Roster change) {
-        if (change.scope() != Scope.CHANGES && !change.entries().isEmpty()) {
+    void endpointListChanged(Event.EndpointListReceived change) {
+        if (change.scope() != ListScope.CHANGES && !change.endpoints().isEmpty()) {
             startedAt.clear();
         }
-        for (Event.Entry entry : change.entries()) {
+        for (Event.Endpoint entry : change.endpoints()) {
             if (entry.kind().equals(originKind)) {
                 origin = Optional.of(entry.node());
-            } else if (entry.state() == State.GONE) {
+            } else if (entry.state() == NodeState.GONE) {
                 startedAt.remove(entry.node());
             } else {
-                startedAt.put(entry.node(), entry.started());
+                startedAt.put(entry.node(), entry.startedAt());
             }
         }
     }
--- a/src/main/java/cairnbridge/recovery/RecoveryAdmission.java
+++ b/src/main/java/cairnbridge/recovery/RecoveryAdmission.java
@@ -1,7 +1,7 @@
 package cairnbridge.recovery;
 
 import cairnbridge.decision.Ids.KeyId;
-import cairnbridge.decision.Ids.OpId;
+import cairnbridge.decision.Ids.RequestId;
 import cairnbridge.decision.Settings.Category;
 import cairnbridge.decision.Settings.Effect;
 import cairnbridge.recovery.AdmissionDecision.Reason;
@@ -42,7 +42,7 @@
     private final KeyAdmission keys;
     private final OriginRateRamp originRamp;
     private final RandomGenerator random;
-    private final Map<OpId, AdmittedRequest> inFlight = new HashMap<>();
+    private final Map<RequestId, AdmittedRequest> inFlight = new HashMap<>();
     private long failedAsUnknown;
     private long rejected;
     private int requestsInPhase;
@@ -97,7 +97,7 @@
     AdmissionDecision admit(
             IncomingRequest request, RecoveryPhase phase, boolean listConfirmed, long now) {
         int category = request.category().value();
-        boolean onlyOnce = categories.get(category).effect() != Effect.REDELIVERABLE;
+        boolean onlyOnce = categories.get(category).effect() != Effect.IDEMPOTENT;
         if (onlyOnce && !listConfirmed) {
             return reject(Reason.ENDPOINT_LIST_UNCONFIRMED, EARLY_RETRY_AFTER, now);
         }
@@ -162,14 +162,14 @@
         return AdmissionDecision.reject(reason, bounded / 2 + random.nextLong(bounded));
     }
 
-    void attemptSucceeded(OpId request) {
+    void attemptSucceeded(RequestId request) {
         AdmittedRequest admitted = inFlight.get(request);
         if (admitted != null) {
             admitted.succeeded = true;
         }
     }
 
-    void requestAnswered(OpId request) {
+    void requestAnswered(RequestId request) {
         AdmittedRequest admitted = inFlight.remove(request);
         if (admitted != null && admitted.key != null) {
             keys.fetchEnded(admitted.key, admitted.succeeded);
--- a/src/main/java/cairnbridge/recovery/RecoveryCoordinator.java
+++ b/src/main/java/cairnbridge/recovery/RecoveryCoordinator.java
@@ -1,11 +1,11 @@
 package cairnbridge.recovery;
 
 import cairnbridge.decision.Event;
-import cairnbridge.decision.Event.Ending;
-import cairnbridge.decision.Event.Scope;
+import cairnbridge.decision.Event.AttemptOutcome;
+import cairnbridge.decision.Event.ListScope;
 import cairnbridge.decision.Ids.MachineKind;
 import cairnbridge.decision.Ids.NodeId;
-import cairnbridge.decision.Ids.OpId;
+import cairnbridge.decision.Ids.RequestId;
 import cairnbridge.decision.Settings.Category;
 import cairnbridge.time.Ticks;
 import java.util.ArrayList;
@@ -54,7 +54,7 @@
             String member,
             String zone) {
         private long shortestObjective() {
-            return categories.stream().mapToLong(Category::target).min().orElse(0);
+            return categories.stream().mapToLong(Category::latencyObjective).min().orElse(0);
         }
     }
 
@@ -134,11 +134,11 @@
     }
 
     /** An endpoint list is in use: discovery's or, if its scope is CACHED, another one. */
-    public void endpointListChanged(Event.Roster list, long now) {
+    public void endpointListChanged(Event.EndpointListReceived list, long now) {
         nodes.endpointListChanged(list);
-        if (list.scope() == Scope.CACHED) {
+        if (list.scope() == ListScope.CACHED) {
             unconfirmedListUsed(list.version(), nodes.latestStart(), now);
-        } else if (list.scope() != Scope.FAILED) {
+        } else if (list.scope() != ListScope.FAILED) {
             listReceived(list.version(), nodes.latestStart(), now);
         }
     }
@@ -170,10 +170,10 @@
     }
 
     /** A health check has ended. */
-    public void probeEnded(NodeId node, Ending ending, long now) {
+    public void probeEnded(NodeId node, AttemptOutcome ending, long now) {
         if (nodes.isOrigin(node)) {
             // An error is an answer as well: the origin runs.
-            originProbed(ending == Ending.ACKED || ending == Ending.ERROR, now);
+            originProbed(ending == AttemptOutcome.SUCCESS || ending == AttemptOutcome.ERROR, now);
         }
     }
 
@@ -317,14 +317,17 @@
     }
 
     /** An attempt of a request has ended. */
-    public void attemptEnded(OpId request, NodeId node, Ending ending, long duration, long now) {
-        boolean conclusive = ending != Ending.CALLED_OFF && ending != Ending.NEVER_SENT;
+    public void attemptEnded(
+            RequestId request, NodeId node, AttemptOutcome ending, long duration, long now) {
+        boolean conclusive =
+                ending != AttemptOutcome.CANCELLED && ending != AttemptOutcome.NOT_SENT;
         boolean atOrigin = conclusive && nodes.isOrigin(node);
-        attemptEnded(request, atOrigin, ending == Ending.ACKED, duration, now);
+        attemptEnded(request, atOrigin, ending == AttemptOutcome.SUCCESS, duration, now);
     }
 
     /** The same where it is known whether the end says anything about the origin. */
-    void attemptEnded(OpId request, boolean atOrigin, boolean succeeded, long duration, long now) {
+    void attemptEnded(
+            RequestId request, boolean atOrigin, boolean succeeded, long duration, long now) {
         if (phase == RecoveryPhase.SERVE_ALL) {
             return;
         }
@@ -338,7 +341,7 @@
     }
 
     /** A request has got its answer. */
-    public void requestAnswered(OpId request) {
+    public void requestAnswered(RequestId request) {
         admission.requestAnswered(request);
     }
 
--- a/src/main/java/cairnbridge/recovery/StateKeeper.java
+++ b/src/main/java/cairnbridge/recovery/StateKeeper.java
@@ -1,7 +1,7 @@
 package cairnbridge.recovery;
 
 import cairnbridge.decision.Ids.NodeId;
-import cairnbridge.decision.Learnt;
+import cairnbridge.decision.WarmStartState;
 import cairnbridge.fleet.member.Endpoint;
 import cairnbridge.fleet.member.MemberState;
 import cairnbridge.fleet.membership.MembershipView;
@@ -122,31 +122,33 @@
     }
 
     /** What was learnt about nodes, as far as that is used. */
-    public Learnt learntTrust() {
+    public WarmStartState learntTrust() {
         if (!restored.isNodeTrustUsable()) {
-            return Learnt.NOTHING;
+            return WarmStartState.EMPTY;
         }
         PersistedState.NodeTrust trust = persisted.content().nodeTrust();
-        Map<NodeId, Learnt.Trust> nodes = new HashMap<>();
+        Map<NodeId, WarmStartState.Trust> nodes = new HashMap<>();
         for (PersistedState.Node node : trust.nodes()) {
             nodes.put(
                     new NodeId(node.id()),
-                    new Learnt.Trust(node.startedAt(), node.acceptedShare()));
+                    new WarmStartState.Trust(node.startedAt(), node.acceptedShare()));
         }
-        return new Learnt(trust.learntAt(), trust.originLatency(), trust.sendRate(), nodes);
+        return new WarmStartState(trust.learntAt(), trust.originLatency(), trust.sendRate(), nodes);
     }
 
     /** What was learnt about nodes, in the form in which it is persisted. */
-    public static PersistedState.NodeTrust persistedTrust(Learnt learnt) {
+    public static PersistedState.NodeTrust persistedTrust(WarmStartState learnt) {
         List<PersistedState.Node> nodes = new ArrayList<>();
         learnt.nodes()
                 .forEach(
                         (id, trust) ->
                                 nodes.add(
                                         new PersistedState.Node(
-                                                id.value(), trust.started(), trust.share())));
+                                                id.value(),
+                                                trust.startedAt(),
+                                                trust.acceptedShare())));
         return new PersistedState.NodeTrust(
-                learnt.at(), learnt.originSpan(), learnt.sendRate(), nodes);
+                learnt.recordedAt(), learnt.originLatency(), learnt.sendsPerSecond(), nodes);
     }
 
     /** The members of a view but the one whose view it is, in the form that is persisted. */
--- a/src/main/java/cairnbridge/recovery/UnknownOutcomes.java
+++ b/src/main/java/cairnbridge/recovery/UnknownOutcomes.java
@@ -37,7 +37,7 @@
         return switch (category.effect()) {
             case AT_MOST_ONCE -> true;
             case DEDUPLICATED -> newestNodeStart >= firstSentAt;
-            case REDELIVERABLE -> false;
+            case IDEMPOTENT -> false;
         };
     }
 }
--- a/src/main/java/cairnbridge/scale/router/FixedChoice.java
+++ b/src/main/java/cairnbridge/scale/router/FixedChoice.java
@@ -21,9 +21,10 @@
 
     @Override
     public void handle(long clock, Event event) {
-        if (event instanceof Event.OpArrived arrived) {
-            host.timer(arrived.expires() - clock, new TimerId(++lastTimer));
-            host.push(arrived.op(), new NodeId(1 + arrived.key().value() % nodes), 0, 0);
+        if (event instanceof Event.RequestArrived arrived) {
+            host.startTimer(arrived.deadline() - clock, new TimerId(++lastTimer));
+            host.sendAttempt(
+                    arrived.request(), new NodeId(1 + arrived.key().value() % nodes), 0, 0);
         }
     }
 }
--- a/src/main/java/cairnbridge/scale/router/KeyHomes.java
+++ b/src/main/java/cairnbridge/scale/router/KeyHomes.java
@@ -1,17 +1,17 @@
 package cairnbridge.scale.router;
 
 import cairnbridge.decision.Event;
-import cairnbridge.decision.Event.Ending;
+import cairnbridge.decision.Event.AttemptOutcome;
 import cairnbridge.decision.Host;
 import cairnbridge.decision.Ids.CategoryId;
 import cairnbridge.decision.Ids.KeyId;
 import cairnbridge.decision.Ids.NodeId;
-import cairnbridge.decision.Ids.OpId;
 import cairnbridge.decision.Ids.PeerId;
+import cairnbridge.decision.Ids.RequestId;
 import cairnbridge.decision.Ids.TenantId;
 import cairnbridge.decision.Ids.TimerId;
-import cairnbridge.decision.Learnt;
 import cairnbridge.decision.Router;
+import cairnbridge.decision.WarmStartState;
 
 /**
  * The home of each key: the node that a router with nothing in flight sends it to. Asked as a
@@ -29,7 +29,12 @@
     static int[] of(RouterLoad load) {
         KeyHomes host = new KeyHomes();
         Router router =
-                new Router(load.settings(1), load.seed(), RouterLoad.START, host, Learnt.NOTHING);
+                new Router(
+                        load.settings(1),
+                        load.seed(),
+                        RouterLoad.START,
+                        host,
+                        WarmStartState.EMPTY);
         router.handle(RouterLoad.START, load.fullList());
         if (load.zones() >= WITH_A_PLAN) {
             router.handle(RouterLoad.START, RouterScale.plan(load));
@@ -42,10 +47,10 @@
     }
 
     private int homeOf(int key, Router router) {
-        OpId request = new OpId(key);
+        RequestId request = new RequestId(key);
         router.handle(
                 RouterLoad.START,
-                new Event.OpArrived(
+                new Event.RequestArrived(
                         request,
                         new CategoryId(0),
                         new TenantId(0),
@@ -57,58 +62,65 @@
                         false));
         router.handle(
                 RouterLoad.START,
-                new Event.PushEnded(
-                        request, 0, new NodeId(pushedTo), Ending.ACKED, 1, 1, true, null));
+                new Event.AttemptEnded(
+                        request,
+                        0,
+                        new NodeId(pushedTo),
+                        AttemptOutcome.SUCCESS,
+                        1,
+                        1,
+                        true,
+                        null));
         return pushedTo;
     }
 
     @Override
-    public void push(OpId op, NodeId node, long timeOut, long latestBegin) {
+    public void sendAttempt(RequestId op, NodeId node, long timeOut, long latestBegin) {
         pushedTo = (int) node.value();
     }
 
     @Override
-    public void nack(OpId op, long retryAfter) {
+    public void rejectRetryable(RequestId op, long retryAfter) {
         throw new IllegalStateException("an idle router refused a request");
     }
 
     @Override
-    public void deadLetter(OpId op) {
+    public void failPermanently(RequestId op) {
         throw new IllegalStateException("an idle router refused a request");
     }
 
     @Override
-    public void cancel(OpId op, int push) {
+    public void cancelAttempt(RequestId op, int push) {
         // Nothing is in flight that could be cancelled.
     }
 
     @Override
-    public void timer(long in, TimerId timer) {
+    public void startTimer(long in, TimerId timer) {
         // The clock stands still here.
     }
 
     @Override
-    public void probe(NodeId node) {
+    public void checkHealth(NodeId node) {
         // No node is in doubt here.
     }
 
     @Override
-    public void tellPeer(PeerId peer, byte[] body) {
+    public void sendToPeer(PeerId peer, byte[] body) {
         // There are no peers here.
     }
 
     @Override
-    public void subscribe(boolean on) {
+    public void subscribeToEndpoints(boolean on) {
         // The list is told at once.
     }
 
     @Override
-    public void fetchRoster() {
+    public void fetchEndpointList() {
         // As above.
     }
 
     @Override
-    public void avoids(int nodes) {
+    public void avoidedNodeCountChanged(int nodes) {
         // Nobody reads it here.
     }
 
--- a/src/main/java/cairnbridge/scale/router/RouterDrive.java
+++ b/src/main/java/cairnbridge/scale/router/RouterDrive.java
@@ -1,13 +1,13 @@
 package cairnbridge.scale.router;
 
 import cairnbridge.decision.Event;
-import cairnbridge.decision.Event.Ending;
+import cairnbridge.decision.Event.AttemptOutcome;
 import cairnbridge.decision.Host;
 import cairnbridge.decision.Ids.CategoryId;
 import cairnbridge.decision.Ids.KeyId;
 import cairnbridge.decision.Ids.NodeId;
-import cairnbridge.decision.Ids.OpId;
 import cairnbridge.decision.Ids.PeerId;
+import cairnbridge.decision.Ids.RequestId;
 import cairnbridge.decision.Ids.TenantId;
 import cairnbridge.decision.Ids.TimerId;
 import cairnbridge.scale.router.DriveCounts.HostCall;
@@ -30,7 +30,7 @@
 
     private record DueTimer(long time, long order, TimerId timer) {}
 
-    private record Push(long due, OpId op, int number, int node, long sent) {}
+    private record Push(long due, RequestId op, int number, int node, long sent) {}
 
     private final RouterLoad load;
     private final int[] homes;
@@ -145,8 +145,8 @@
         counts.requests++;
         counts.homeBusy += inFlight[arrivingHome] >= LEAST_BOUND ? 1 : 0;
         tell(
-                new Event.OpArrived(
-                        new OpId(++arrivals),
+                new Event.RequestArrived(
+                        new RequestId(++arrivals),
                         new CategoryId(0),
                         new TenantId(0),
                         new KeyId(key),
@@ -160,11 +160,11 @@
     private void answered(Push push) {
         inFlight[push.node]--;
         tell(
-                new Event.PushEnded(
+                new Event.AttemptEnded(
                         push.op,
                         push.number,
                         new NodeId(push.node),
-                        Ending.ACKED,
+                        AttemptOutcome.SUCCESS,
                         1,
                         clock - push.sent,
                         true,
@@ -172,7 +172,7 @@
     }
 
     @Override
-    public void push(OpId op, NodeId nodeId, long timeOut, long latestBegin) {
+    public void sendAttempt(RequestId op, NodeId nodeId, long timeOut, long latestBegin) {
         counts.count(HostCall.PUSH);
         int node = (int) nodeId.value();
         if (pushesOfRequest == 0) {
@@ -196,48 +196,48 @@
     }
 
     @Override
-    public void cancel(OpId op, int push) {
+    public void cancelAttempt(RequestId op, int push) {
         counts.count(HostCall.CANCEL);
     }
 
     @Override
-    public void nack(OpId op, long retryAfter) {
+    public void rejectRetryable(RequestId op, long retryAfter) {
         counts.count(HostCall.REFUSAL);
     }
 
     @Override
-    public void deadLetter(OpId op) {
+    public void failPermanently(RequestId op) {
         counts.count(HostCall.REFUSAL);
     }
 
     @Override
-    public void timer(long in, TimerId timer) {
+    public void startTimer(long in, TimerId timer) {
         counts.count(HostCall.TIMER);
         timers.add(new DueTimer(clock + in, ++timerOrder, timer));
     }
 
     @Override
-    public void probe(NodeId node) {
+    public void checkHealth(NodeId node) {
         counts.count(HostCall.PROBE);
     }
 
     @Override
-    public void tellPeer(PeerId peer, byte[] body) {
+    public void sendToPeer(PeerId peer, byte[] body) {
         counts.count(HostCall.OTHER);
     }
 
     @Override
-    public void subscribe(boolean on) {
+    public void subscribeToEndpoints(boolean on) {
         counts.count(HostCall.OTHER);
     }
 
     @Override
-    public void fetchRoster() {
+    public void fetchEndpointList() {
         counts.count(HostCall.OTHER);
     }
 
     @Override
-    public void avoids(int nodes) {
+    public void avoidedNodeCountChanged(int nodes) {
         counts.count(HostCall.AVOIDS);
     }
 
--- a/src/main/java/cairnbridge/scale/router/RouterLoad.java
+++ b/src/main/java/cairnbridge/scale/router/RouterLoad.java
@@ -3,9 +3,9 @@
 import cairnbridge.config.JsonObject;
 import cairnbridge.config.SettingsReader;
 import cairnbridge.decision.Event;
-import cairnbridge.decision.Event.Entry;
-import cairnbridge.decision.Event.Scope;
-import cairnbridge.decision.Event.State;
+import cairnbridge.decision.Event.Endpoint;
+import cairnbridge.decision.Event.ListScope;
+import cairnbridge.decision.Event.NodeState;
 import cairnbridge.decision.Ids.CellId;
 import cairnbridge.decision.Ids.MachineKind;
 import cairnbridge.decision.Ids.NodeId;
@@ -78,22 +78,22 @@
     }
 
     /** The whole list, as discovery tells it; every call makes entries of its own. */
-    Event.Roster fullList() {
-        List<Entry> entries = new ArrayList<>();
+    Event.EndpointListReceived fullList() {
+        List<Endpoint> entries = new ArrayList<>();
         for (int node = 1; node <= nodes; node++) {
-            entries.add(entry(node, State.READY));
+            entries.add(entry(node, NodeState.READY));
         }
-        return new Event.Roster(Scope.FULL, 1, entries);
+        return new Event.EndpointListReceived(ListScope.FULL, 1, entries);
     }
 
     /** A list that tells of one entry only. */
-    Event.Roster change(int node, State state) {
-        return new Event.Roster(Scope.CHANGES, 2, List.of(entry(node, state)));
+    Event.EndpointListReceived change(int node, NodeState state) {
+        return new Event.EndpointListReceived(ListScope.CHANGES, 2, List.of(entry(node, state)));
     }
 
-    private Entry entry(int node, State state) {
+    private Endpoint entry(int node, NodeState state) {
         int zone = zones == 0 ? 0 : node % zones;
-        return new Entry(
+        return new Endpoint(
                 new NodeId(node),
                 state,
                 new MachineKind(0),
--- a/src/main/java/cairnbridge/scale/router/RouterScale.java
+++ b/src/main/java/cairnbridge/scale/router/RouterScale.java
@@ -1,11 +1,11 @@
 package cairnbridge.scale.router;
 
 import cairnbridge.decision.Event;
-import cairnbridge.decision.Event.State;
+import cairnbridge.decision.Event.NodeState;
 import cairnbridge.decision.Host;
 import cairnbridge.decision.Ids.ZoneId;
-import cairnbridge.decision.Learnt;
 import cairnbridge.decision.Router;
+import cairnbridge.decision.WarmStartState;
 import cairnbridge.scale.LinearFit;
 import cairnbridge.scale.LinearFit.Point;
 import cairnbridge.scale.MeasurementWriter;
@@ -168,12 +168,13 @@
     }
 
     private static Router router(RouterLoad load, Host host) {
-        return new Router(load.settings(), load.seed(), RouterLoad.START, host, Learnt.NOTHING);
+        return new Router(
+                load.settings(), load.seed(), RouterLoad.START, host, WarmStartState.EMPTY);
     }
 
     /** A plan that keeps each key to one of the zones. */
-    static Event.Placed plan(RouterLoad load) {
-        return new Event.Placed(
+    static Event.PlacementChanged plan(RouterLoad load) {
+        return new Event.PlacementChanged(
                 (point, category) -> new ZoneId((int) Math.floorMod(point, (long) load.zones())));
     }
 
@@ -189,7 +190,7 @@
         for (int repeat = 0; repeat < LIST_REPEATS; repeat++) {
             RouterDrive drive =
                     new RouterDrive(load, new int[0], host -> router(load, host)::handle);
-            Event.Roster list = load.fullList();
+            Event.EndpointListReceived list = load.fullList();
             nanoseconds += ThreadCosts.of(() -> drive.tell(list)).nanoseconds();
         }
         return nanoseconds / MICROSECOND / LIST_REPEATS;
@@ -202,7 +203,8 @@
                 ThreadCosts.of(
                         () -> {
                             for (int repeat = 0; repeat < CHANGE_REPEATS; repeat++) {
-                                State state = repeat % 2 == 0 ? State.DRAINING : State.READY;
+                                NodeState state =
+                                        repeat % 2 == 0 ? NodeState.DRAINING : NodeState.READY;
                                 drive.tell(load.change(1, state));
                             }
                         });
--- a/src/main/java/cairnbridge/scale/upkeep/TurnCosts.java
+++ b/src/main/java/cairnbridge/scale/upkeep/TurnCosts.java
@@ -2,7 +2,7 @@
 
 import cairnbridge.config.JsonObject;
 import cairnbridge.config.SettingsReader;
-import cairnbridge.decision.Event.Ending;
+import cairnbridge.decision.Event.AttemptOutcome;
 import cairnbridge.decision.Ids.NodeId;
 import cairnbridge.fleet.coordination.DiscoveryPolling;
 import cairnbridge.fleet.coordination.FleetLoadCounters;
@@ -190,7 +190,7 @@
             turns++;
             for (int node = 0; node < Math.min(nodes, FAILING_NODES); node++) {
                 NodeId failing = new NodeId(fleet.nodes().get(node));
-                tally.probeEnded(failing, Ending.NO_CONNECTION, now());
+                tally.probeEnded(failing, AttemptOutcome.CONNECT_FAILED, now());
             }
             tally.publish(now());
             return tally.reachability().unreachableNodes().size()
--- a/src/main/java/cairnbridge/zones/routing/LoadShedding.java
+++ b/src/main/java/cairnbridge/zones/routing/LoadShedding.java
@@ -38,7 +38,7 @@
     private static List<Integer> byBenefit(List<Settings.Category> categories) {
         return IntStream.range(0, categories.size())
                 .boxed()
-                .sorted(Comparator.comparingDouble(i -> categories.get(i).benefit()))
+                .sorted(Comparator.comparingDouble(i -> categories.get(i).priorityWeight()))
                 .toList();
     }
 
--- a/src/main/java/cairnbridge/zones/routing/ZoneRouter.java
+++ b/src/main/java/cairnbridge/zones/routing/ZoneRouter.java
@@ -3,8 +3,8 @@
 import cairnbridge.decision.Ids.ZoneId;
 import cairnbridge.decision.Placement;
 import cairnbridge.decision.Settings;
+import cairnbridge.decision.Settings.DeduplicationScope;
 import cairnbridge.decision.Settings.Effect;
-import cairnbridge.decision.Settings.Group;
 import cairnbridge.hash.Fnv1a;
 import cairnbridge.hash.SplitMix64;
 import cairnbridge.zones.plan.ListedNode;
@@ -136,7 +136,8 @@
         }
         // Guards against a client's retry that goes where nobody has the mark of the first attempt.
         boolean boundToHome =
-                category.effect() == Effect.DEDUPLICATED && category.group() != Group.ALL;
+                category.effect() == Effect.DEDUPLICATED
+                        && category.deduplicationScope() != DeduplicationScope.ALL_NODES;
         if (boundToHome) {
             return home.orElse(NOWHERE);
         }
--- a/src/test/java/cairnbridge/config/WarmStartFileTest.java
+++ b/src/test/java/cairnbridge/config/WarmStartFileTest.java
@@ -5,7 +5,7 @@
 
 import cairnbridge.Fixtures;
 import cairnbridge.decision.Ids.NodeId;
-import cairnbridge.decision.Learnt;
+import cairnbridge.decision.WarmStartState;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.LinkedHashMap;
@@ -17,11 +17,11 @@
 class WarmStartFileTest {
     @TempDir Path folder;
 
-    private static Learnt learnt(double sendRate) {
-        Map<NodeId, Learnt.Trust> nodes = new LinkedHashMap<>();
-        nodes.put(new NodeId(-7), new Learnt.Trust(16_999_999_990_000L, 0.5));
-        nodes.put(new NodeId(0x1f), new Learnt.Trust(0, 1));
-        return new Learnt(17_000_001_234_560L, 123.5, sendRate, nodes);
+    private static WarmStartState learnt(double sendRate) {
+        Map<NodeId, WarmStartState.Trust> nodes = new LinkedHashMap<>();
+        nodes.put(new NodeId(-7), new WarmStartState.Trust(16_999_999_990_000L, 0.5));
+        nodes.put(new NodeId(0x1f), new WarmStartState.Trust(0, 1));
+        return new WarmStartState(17_000_001_234_560L, 123.5, sendRate, nodes);
     }
 
     @Test
--- a/src/test/java/cairnbridge/decision/BoundsTest.java
+++ b/src/test/java/cairnbridge/decision/BoundsTest.java
@@ -9,26 +9,31 @@
 
 /** The waits that follow one another add up to less than the term that they are part of. */
 class BoundsTest {
-    private static final long IN_HAND = Bounds.TOLD_MILLIS - Bounds.TOLD_SLACK_MILLIS;
+    private static final long IN_HAND =
+            TimeBudget.NOTIFIED_MILLIS - TimeBudget.NOTIFIED_SLACK_MILLIS;
 
     @Test
     void aWatchThatFallsSilentIsReplacedAndTheChangeInHandBeforeItCountsAsTold() {
-        long dialled = Bounds.SILENCE_MILLIS + Bounds.LOOK_MILLIS;
-        assertTrue(dialled + Bounds.CALL_MILLIS <= IN_HAND);
+        long dialled = TimeBudget.WATCH_SILENCE_MILLIS + TimeBudget.CHECK_INTERVAL_MILLIS;
+        assertTrue(dialled + TimeBudget.CALL_TIMEOUT_MILLIS <= IN_HAND);
         assertTrue(
-                Bounds.SILENCE_MILLIS >= Bounds.HEARTBEAT_MILLIS * 3 / 2,
+                TimeBudget.WATCH_SILENCE_MILLIS >= TimeBudget.HEARTBEAT_MILLIS * 3 / 2,
                 "a late one is no silence");
     }
 
     @Test
     void aCallThatHangsWhenDiscoveryReturnsAndOneThatFailsAtOnceAreFollowedByAnotherInTime() {
-        long hung = Bounds.CALL_MILLIS + Bounds.LOOK_MILLIS;
+        long hung = TimeBudget.CALL_TIMEOUT_MILLIS + TimeBudget.CHECK_INTERVAL_MILLIS;
         assertTrue(
-                hung + 2 * Bounds.MOST_BACKOFF_MILLIS + Bounds.CALL_MILLIS <= IN_HAND,
+                hung + 2 * TimeBudget.MAX_BACKOFF_MILLIS + TimeBudget.CALL_TIMEOUT_MILLIS
+                        <= IN_HAND,
                 "the watch's own");
         assertTrue(
-                hung + Bounds.MOST_WAIT_MILLIS + Bounds.CALL_MILLIS <= IN_HAND, "the module asks");
-        assertTrue(Bounds.CALL_MILLIS >= 1000, "a discovery that is only slow is not given up");
+                hung + TimeBudget.MAX_RETRY_WAIT_MILLIS + TimeBudget.CALL_TIMEOUT_MILLIS <= IN_HAND,
+                "the module asks");
+        assertTrue(
+                TimeBudget.CALL_TIMEOUT_MILLIS >= 1000,
+                "a discovery that is only slow is not given up");
     }
 
     @ParameterizedTest
@@ -40,10 +45,11 @@
         "60000, 3000, 3600, 3700"
     })
     void whatIsOwedAtSigtermIsAnsweredBeforeSigkill(long ttl, long serves, long ends, long kill) {
-        assertEquals(serves, Bounds.stopServesMillis(ttl));
-        assertEquals(ends, Bounds.stopEndsMillis(ttl));
-        assertEquals(ends - Bounds.LAST_ANSWER_MILLIS, Bounds.stopAnswersMillis(ttl));
-        assertEquals(kill, Math.min(ttl, Bounds.LONGEST_TTL_MILLIS) + Bounds.KILL_SPARE_MILLIS);
-        assertEquals(kill, ends + Bounds.EXIT_MILLIS);
+        assertEquals(serves, TimeBudget.shutdownServingMillis(ttl));
+        assertEquals(ends, TimeBudget.shutdownEndMillis(ttl));
+        assertEquals(ends - TimeBudget.LAST_ANSWER_MILLIS, TimeBudget.shutdownAnsweringMillis(ttl));
+        assertEquals(
+                kill, Math.min(ttl, TimeBudget.LONGEST_TTL_MILLIS) + TimeBudget.KILL_MARGIN_MILLIS);
+        assertEquals(kill, ends + TimeBudget.EXIT_MILLIS);
     }
 }
--- a/src/test/java/cairnbridge/decision/ColdSumTest.java
+++ b/src/test/java/cairnbridge/decision/ColdSumTest.java
@@ -4,12 +4,12 @@
 import static cairnbridge.decision.FakeHost.entry;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cairnbridge.decision.Event.Ending;
-import cairnbridge.decision.Event.State;
+import cairnbridge.decision.Event.AttemptOutcome;
+import cairnbridge.decision.Event.NodeState;
 import cairnbridge.decision.Ids.NodeId;
-import cairnbridge.decision.Ids.OpId;
+import cairnbridge.decision.Ids.RequestId;
+import cairnbridge.decision.Settings.DeduplicationScope;
 import cairnbridge.decision.Settings.Effect;
-import cairnbridge.decision.Settings.Group;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.random.RandomGenerator;
@@ -39,7 +39,7 @@
     private static final double COLD_FROM = 0.25;
     private static final double WARM_UP = 10 * SECOND;
 
-    private record Out(FakeHost.Pushed push, long sent, long due, Ending ending) {}
+    private record Out(FakeHost.Pushed push, long sent, long due, AttemptOutcome ending) {}
 
     /** One process with its own part of the traffic; a restart replaces its host. */
     private static final class Process {
@@ -89,11 +89,11 @@
                 for (int i = 0; i < living; i++) {
                     Process process = fleet.get(i);
                     if (now == joined) {
-                        process.host.changed(entry(COLD, State.READY, joined));
+                        process.host.changed(entry(COLD, NodeState.READY, joined));
                     } else if (i < restarted && now == joined + (1 + i % 5) * SECOND) {
                         process.host = host(told, seed * 7000 + i);
                         process.host.clock = now;
-                        process.host.changed(entry(COLD, State.READY, joined));
+                        process.host.changed(entry(COLD, NodeState.READY, joined));
                         process.out.clear();
                         process.seen = 0;
                     }
@@ -127,7 +127,8 @@
     }
 
     private static FakeHost host(int told, long seed) {
-        return new FakeHost(Effect.REDELIVERABLE, Group.ALL, true, told, seed).listed(CACHES);
+        return new FakeHost(Effect.IDEMPOTENT, DeduplicationScope.ALL_NODES, true, told, seed)
+                .listed(CACHES);
     }
 
     /**
@@ -136,8 +137,10 @@
      */
     private static Out out(FakeHost.Pushed push, long now, RandomGenerator chance) {
         double luck = chance.nextDouble();
-        Ending ending =
-                luck < 0.03 ? Ending.BROKEN : luck < 0.06 ? Ending.NO_CONNECTION : Ending.ACKED;
+        AttemptOutcome ending =
+                luck < 0.03
+                        ? AttemptOutcome.CONNECTION_LOST
+                        : luck < 0.06 ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.SUCCESS;
         long took = luck > 0.95 ? SECOND / 3 : SECOND / 100 + chance.nextLong(SECOND / 50);
         return new Out(push, now, now + took, ending);
     }
@@ -147,14 +150,14 @@
             if (each.due <= now) {
                 process.out.remove(each);
                 process.host.tell(
-                        new Event.PushEnded(
-                                new OpId(each.push.op()),
+                        new Event.AttemptEnded(
+                                new RequestId(each.push.op()),
                                 each.push.push(),
                                 new NodeId(each.push.node()),
                                 each.ending,
                                 0,
                                 now - each.sent,
-                                each.ending == Ending.ACKED,
+                                each.ending == AttemptOutcome.SUCCESS,
                                 null));
             }
         }
--- a/src/test/java/cairnbridge/decision/FakeHost.java
+++ b/src/test/java/cairnbridge/decision/FakeHost.java
@@ -1,22 +1,22 @@
 package cairnbridge.decision;
 
-import cairnbridge.decision.Event.Ending;
-import cairnbridge.decision.Event.Entry;
-import cairnbridge.decision.Event.Scope;
-import cairnbridge.decision.Event.State;
+import cairnbridge.decision.Event.AttemptOutcome;
+import cairnbridge.decision.Event.Endpoint;
+import cairnbridge.decision.Event.ListScope;
+import cairnbridge.decision.Event.NodeState;
 import cairnbridge.decision.Ids.CategoryId;
 import cairnbridge.decision.Ids.CellId;
 import cairnbridge.decision.Ids.KeyId;
 import cairnbridge.decision.Ids.MachineKind;
 import cairnbridge.decision.Ids.NodeId;
-import cairnbridge.decision.Ids.OpId;
 import cairnbridge.decision.Ids.PeerId;
+import cairnbridge.decision.Ids.RequestId;
 import cairnbridge.decision.Ids.TenantId;
 import cairnbridge.decision.Ids.TimerId;
 import cairnbridge.decision.Ids.ZoneId;
 import cairnbridge.decision.Settings.Category;
+import cairnbridge.decision.Settings.DeduplicationScope;
 import cairnbridge.decision.Settings.Effect;
-import cairnbridge.decision.Settings.Group;
 import cairnbridge.decision.Settings.Tenant;
 import java.lang.ref.WeakReference;
 import java.util.ArrayList;
@@ -50,24 +50,30 @@
     long clock = 100 * SECOND;
     int avoided;
 
-    Effect effect = Effect.REDELIVERABLE;
+    Effect effect = Effect.IDEMPOTENT;
     boolean write;
     boolean repeat;
 
     /** What nodes report with each end, by node; one that is not here reports nothing. */
     final Map<Long, double[]> reports = new TreeMap<>();
 
-    FakeHost(Effect effect, Group group, boolean aside, Tenant... tenants) {
+    FakeHost(Effect effect, DeduplicationScope group, boolean aside, Tenant... tenants) {
         this(effect, group, aside, 1, 1, tenants);
     }
 
-    FakeHost(Effect effect, Group group, boolean aside, int proxies, long seed, Tenant... tenants) {
+    FakeHost(
+            Effect effect,
+            DeduplicationScope group,
+            boolean aside,
+            int proxies,
+            long seed,
+            Tenant... tenants) {
         this(effect, group, aside, proxies, seed, "", tenants);
     }
 
     FakeHost(
             Effect effect,
-            Group group,
+            DeduplicationScope group,
             boolean aside,
             int proxies,
             long seed,
@@ -106,7 +112,7 @@
                         columns.isEmpty() ? List.of() : List.of(columns.split(" ")),
                         List.of(category),
                         List.of(tenants));
-        router = new Router(settings, seed, clock, this, Learnt.NOTHING);
+        router = new Router(settings, seed, clock, this, WarmStartState.EMPTY);
     }
 
     /**
@@ -115,39 +121,43 @@
      */
     FakeHost follows(FakeHost earlier, long later) {
         clock = earlier.clock + later;
-        router = new Router(settings, 5, clock, this, earlier.router.learnt());
+        router = new Router(settings, 5, clock, this, earlier.router.warmStartState());
         return this;
     }
 
     /** The same, but what the one before had learnt is only how much a warm cache was sent. */
     FakeHost followsKnowing(double sendRate) {
-        router = new Router(settings, 5, clock, this, new Learnt(clock, 0, sendRate, Map.of()));
+        router =
+                new Router(
+                        settings, 5, clock, this, new WarmStartState(clock, 0, sendRate, Map.of()));
         return this;
     }
 
     double sendRate() {
-        return router.learnt().sendRate();
+        return router.warmStartState().sendsPerSecond();
     }
 
     FakeHost(Effect effect) {
-        this(effect, Group.ALL, true);
+        this(effect, DeduplicationScope.ALL_NODES, true);
     }
 
     /** One of many proxies, told apart by its seed. */
     static FakeHost oneOf(int proxies, long seed, Tenant... tenants) {
-        return new FakeHost(Effect.REDELIVERABLE, Group.ALL, true, proxies, seed, tenants);
+        return new FakeHost(
+                Effect.IDEMPOTENT, DeduplicationScope.ALL_NODES, true, proxies, seed, tenants);
     }
 
     /** Caches whose reports have these columns. */
     static FakeHost reporting(String columns, long seed) {
-        return new FakeHost(Effect.REDELIVERABLE, Group.ALL, true, 1, seed, columns);
+        return new FakeHost(
+                Effect.IDEMPOTENT, DeduplicationScope.ALL_NODES, true, 1, seed, columns);
     }
 
-    static Entry entry(long node, State state, long started) {
+    static Endpoint entry(long node, NodeState state, long started) {
         boolean origin = node == ORIGIN;
         MachineKind kind = new MachineKind(origin ? 9 : node > SLOW ? 1 : 0);
         int group = (int) node % 2;
-        return new Entry(
+        return new Endpoint(
                 new NodeId(node), state, kind, 1, started, new CellId(group), new ZoneId(group));
     }
 
@@ -155,29 +165,29 @@
      * A node that is ready for a moment; what is left of its id shows whether anybody remembers it.
      */
     WeakReference<Object> comesAndGoes(long node) {
-        Entry ready = entry(node, State.READY, 0);
+        Endpoint ready = entry(node, NodeState.READY, 0);
         changed(ready);
-        changed(entry(node, State.GONE, 0));
+        changed(entry(node, NodeState.GONE, 0));
         return new WeakReference<>(ready.node());
     }
 
     FakeHost listed(int caches) {
-        List<Entry> entries = new ArrayList<>();
+        List<Endpoint> entries = new ArrayList<>();
         for (long n = 1; n <= caches; n++) {
-            entries.add(entry(n, State.READY, 0));
+            entries.add(entry(n, NodeState.READY, 0));
         }
-        entries.add(entry(ORIGIN, State.READY, 0));
-        tell(new Event.Roster(Scope.CACHED, 1, entries));
+        entries.add(entry(ORIGIN, NodeState.READY, 0));
+        tell(new Event.EndpointListReceived(ListScope.CACHED, 1, entries));
         return this;
     }
 
-    FakeHost changed(Entry... entries) {
-        tell(new Event.Roster(Scope.CHANGES, 2, List.of(entries)));
+    FakeHost changed(Endpoint... entries) {
+        tell(new Event.EndpointListReceived(ListScope.CHANGES, 2, List.of(entries)));
         return this;
     }
 
     FakeHost held(long node, boolean on) {
-        tell(new Event.Held(new NodeId(node), on));
+        tell(new Event.MaintenanceChanged(new NodeId(node), on));
         return this;
     }
 
@@ -187,8 +197,8 @@
 
     FakeHost op(long id, long key, long ttl) {
         tell(
-                new Event.OpArrived(
-                        new OpId(id),
+                new Event.RequestArrived(
+                        new RequestId(id),
                         new CategoryId(0),
                         new TenantId(0),
                         new KeyId(key),
@@ -201,21 +211,21 @@
     }
 
     /** The latest push ends so. */
-    FakeHost ends(Ending ending, long took) {
+    FakeHost ends(AttemptOutcome ending, long took) {
         return ends(pushes.get(pushes.size() - 1), ending, took);
     }
 
-    FakeHost ends(Pushed pushed, Ending ending, long took) {
+    FakeHost ends(Pushed pushed, AttemptOutcome ending, long took) {
         pass(took);
         tell(
-                new Event.PushEnded(
-                        new OpId(pushed.op),
+                new Event.AttemptEnded(
+                        new RequestId(pushed.op),
                         pushed.push,
                         new NodeId(pushed.node),
                         ending,
                         0,
                         took,
-                        ending == Ending.ACKED,
+                        ending == AttemptOutcome.SUCCESS,
                         reports.get(pushed.node)));
         return this;
     }
@@ -223,7 +233,7 @@
     /** Ops from one id up to another, each for a key of its own and acked after the same span. */
     FakeHost acks(long from, long to, long took) {
         for (long id = from; id < to; id++) {
-            op(id, id, SECOND).ends(Ending.ACKED, took);
+            op(id, id, SECOND).ends(AttemptOutcome.SUCCESS, took);
         }
         return this;
     }
@@ -244,54 +254,54 @@
     }
 
     @Override
-    public void push(OpId op, NodeId node, long timeOut, long latestBegin) {
+    public void sendAttempt(RequestId op, NodeId node, long timeOut, long latestBegin) {
         int number = counts.merge(op.value(), 1, Integer::sum) - 1;
         pushes.add(new Pushed(op.value(), number, node.value()));
         latestBegins.add(latestBegin);
     }
 
     @Override
-    public void cancel(OpId op, int push) {
+    public void cancelAttempt(RequestId op, int push) {
         calls.add("cancel " + op.value() + " " + push);
     }
 
     @Override
-    public void nack(OpId op, long retryAfter) {
+    public void rejectRetryable(RequestId op, long retryAfter) {
         answers.add("nack " + op.value());
     }
 
     @Override
-    public void deadLetter(OpId op) {
+    public void failPermanently(RequestId op) {
         answers.add("dead " + op.value());
     }
 
     @Override
-    public void timer(long in, TimerId timer) {
+    public void startTimer(long in, TimerId timer) {
         timers.computeIfAbsent(clock + in, k -> new ArrayList<>()).add(timer);
     }
 
     @Override
-    public void probe(NodeId node) {
+    public void checkHealth(NodeId node) {
         calls.add("probe " + node.value());
     }
 
     @Override
-    public void tellPeer(PeerId peer, byte[] body) {
+    public void sendToPeer(PeerId peer, byte[] body) {
         calls.add("tell " + body.length);
     }
 
     @Override
-    public void subscribe(boolean on) {
+    public void subscribeToEndpoints(boolean on) {
         calls.add("subscribe " + on);
     }
 
     @Override
-    public void fetchRoster() {
+    public void fetchEndpointList() {
         calls.add("fetch");
     }
 
     @Override
-    public void avoids(int nodes) {
+    public void avoidedNodeCountChanged(int nodes) {
         avoided = nodes;
     }
 
--- a/src/test/java/cairnbridge/decision/ManyProxiesTest.java
+++ b/src/test/java/cairnbridge/decision/ManyProxiesTest.java
@@ -6,10 +6,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cairnbridge.decision.Event.Ending;
-import cairnbridge.decision.Event.State;
+import cairnbridge.decision.Event.AttemptOutcome;
+import cairnbridge.decision.Event.NodeState;
+import cairnbridge.decision.Settings.DeduplicationScope;
 import cairnbridge.decision.Settings.Effect;
-import cairnbridge.decision.Settings.Group;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -30,7 +30,14 @@
     private static List<FakeHost> many(Effect effect) {
         return LongStream.range(0, PROXIES)
                 .mapToObj(
-                        seed -> new FakeHost(effect, Group.ALL, true, PROXIES, seed).listed(CACHES))
+                        seed ->
+                                new FakeHost(
+                                                effect,
+                                                DeduplicationScope.ALL_NODES,
+                                                true,
+                                                PROXIES,
+                                                seed)
+                                        .listed(CACHES))
                 .toList();
     }
 
@@ -40,7 +47,7 @@
      */
     @Test
     void proxiesKilledTogetherServeByTheOldListAndSpareWhatIsColdWhenTheLateOneComes() {
-        List<FakeHost> fleet = many(Effect.REDELIVERABLE);
+        List<FakeHost> fleet = many(Effect.IDEMPOTENT);
         Map<Long, Integer> cold = new HashMap<>();
         int pushes = 0;
         for (FakeHost host : fleet) {
@@ -52,19 +59,19 @@
                 for (int tries = 0;
                         host.lastNode() <= 2 && host.pushes.size() > id && tries < 4;
                         tries++) {
-                    host.ends(Ending.NO_CONNECTION, 5);
+                    host.ends(AttemptOutcome.CONNECT_FAILED, 5);
                 }
-                host.ends(Ending.ACKED, 20).pass(SECOND / 10);
+                host.ends(AttemptOutcome.SUCCESS, 20).pass(SECOND / 10);
             }
             long found = host.pushes.stream().filter(push -> push.node() <= 2).count();
             assertTrue(found < 30, found + " pushes looked for the two caches that are gone");
-            host.changed(entry(1, State.GONE, 0), entry(2, State.GONE, 0));
+            host.changed(entry(1, NodeState.GONE, 0), entry(2, NodeState.GONE, 0));
             for (long node = 21; node <= 26; node++) {
-                host.changed(entry(node, State.READY, host.clock));
+                host.changed(entry(node, NodeState.READY, host.clock));
             }
             int before = host.pushes.size();
             for (; id < 90; id++) {
-                host.op(id, id * 131, SECOND).ends(Ending.ACKED, 20).pass(SECOND / 30);
+                host.op(id, id * 131, SECOND).ends(AttemptOutcome.SUCCESS, 20).pass(SECOND / 30);
             }
             pushes += host.pushes.size() - before;
             host.pushes.subList(before, host.pushes.size()).stream()
@@ -90,7 +97,7 @@
      */
     @Test
     void aZoneCutOffWhileAListIsOnItsWayLosesNoOpAndTheListCountsAtOnce() {
-        for (FakeHost host : many(Effect.REDELIVERABLE)) {
+        for (FakeHost host : many(Effect.IDEMPOTENT)) {
             for (long id = 0; id < 40; id++) {
                 host.op(id, id * 977, SECOND);
                 host.pass(SECOND / 100);
@@ -101,12 +108,12 @@
                 if (push.node() % 2 == 0) {
                     silent.add(push); // Its zone is cut off: it says nothing.
                 } else if (acked.add(push.op())) {
-                    host.ends(push, Ending.ACKED, 1);
+                    host.ends(push, AttemptOutcome.SUCCESS, 1);
                 }
             }
             assertTrue(silent.size() > 5, "half of the caches are silent");
             for (long node = 2; node <= 8; node += 2) {
-                host.changed(entry(node, State.DRAINING, 0));
+                host.changed(entry(node, NodeState.DRAINING, 0));
             }
             int listed = host.pushes.size();
             host.pass(SECOND);
@@ -146,13 +153,13 @@
                 }
                 assertEquals(ORIGIN, host.lastNode());
                 if (id % 4 == 0) {
-                    host.ends(Ending.NO_CONNECTION, 2); // Proof that it never ran.
+                    host.ends(AttemptOutcome.CONNECT_FAILED, 2); // Proof that it never ran.
                 }
                 boolean out =
                         host.pushes.get(host.pushes.size() - 1).op() == id
                                 && host.answers.size() == expected.size();
                 if (out) {
-                    host.ends(Ending.BROKEN, 5);
+                    host.ends(AttemptOutcome.CONNECTION_LOST, 5);
                     expected.add("dead " + id);
                 } else {
                     expected.add("nack " + id);
@@ -176,15 +183,15 @@
         Map<Long, Integer> cold = new HashMap<>();
         int warm = 0;
         long own = 0;
-        for (FakeHost host : many(Effect.REDELIVERABLE)) {
+        for (FakeHost host : many(Effect.IDEMPOTENT)) {
             own += 1000; // Each proxy has keys of its own.
             host.acks(own, own + 90, SECOND / 30); // Three seconds at thirty a second.
-            List<Event.Entry> change = new ArrayList<>();
+            List<Event.Endpoint> change = new ArrayList<>();
             for (long node = 1; node <= 12; node++) {
-                change.add(entry(node, State.DRAINING, 0));
-                change.add(entry(100 + node, State.READY, host.clock));
+                change.add(entry(node, NodeState.DRAINING, 0));
+                change.add(entry(100 + node, NodeState.READY, host.clock));
             }
-            host.changed(change.toArray(Event.Entry[]::new));
+            host.changed(change.toArray(Event.Endpoint[]::new));
             int before = host.pushes.size();
             host.acks(own + 100, own + 130, SECOND / 30);
             for (FakeHost.Pushed push : host.pushes.subList(before, host.pushes.size())) {
