--- a/src/test/java/cairnbridge/decision/RecordedRouter.java
+++ b/src/test/java/cairnbridge/decision/RecordedRouter.java
@@ -1,15 +1,15 @@
 package cairnbridge.decision;
 
-import cairnbridge.decision.Event.Ending;
-import cairnbridge.decision.Event.Scope;
-import cairnbridge.decision.Event.State;
+import cairnbridge.decision.Event.AttemptOutcome;
+import cairnbridge.decision.Event.ListScope;
+import cairnbridge.decision.Event.NodeState;
 import cairnbridge.decision.Ids.CategoryId;
 import cairnbridge.decision.Ids.CellId;
 import cairnbridge.decision.Ids.KeyId;
 import cairnbridge.decision.Ids.MachineKind;
 import cairnbridge.decision.Ids.NodeId;
-import cairnbridge.decision.Ids.OpId;
 import cairnbridge.decision.Ids.PeerId;
+import cairnbridge.decision.Ids.RequestId;
 import cairnbridge.decision.Ids.TenantId;
 import cairnbridge.decision.Ids.TimerId;
 import cairnbridge.decision.Ids.ZoneId;
@@ -26,20 +26,20 @@
 final class RecordedRouter {
     /** How an attempt ends. */
     enum How {
-        ANSWERED("answered", Ending.ACKED),
-        ERROR("error", Ending.ERROR),
-        FULL("full", Ending.FULL),
-        TIMED_OUT("timed-out", Ending.TIMED_OUT),
-        NO_CONNECTION("no-connection", Ending.NO_CONNECTION),
-        BROKEN("broken", Ending.BROKEN),
-        CALLED_OFF("called-off", Ending.CALLED_OFF),
-        NEVER_SENT("never-sent", Ending.NEVER_SENT),
-        MISS("miss", Ending.MISS);
+        ANSWERED("answered", AttemptOutcome.SUCCESS),
+        ERROR("error", AttemptOutcome.ERROR),
+        FULL("full", AttemptOutcome.OVERLOADED),
+        TIMED_OUT("timed-out", AttemptOutcome.TIMED_OUT),
+        NO_CONNECTION("no-connection", AttemptOutcome.CONNECT_FAILED),
+        BROKEN("broken", AttemptOutcome.CONNECTION_LOST),
+        CALLED_OFF("called-off", AttemptOutcome.CANCELLED),
+        NEVER_SENT("never-sent", AttemptOutcome.NOT_SENT),
+        MISS("miss", AttemptOutcome.CACHE_MISS);
 
         private final String word;
-        private final Ending ending;
+        private final AttemptOutcome ending;
 
-        How(String word, Ending ending) {
+        How(String word, AttemptOutcome ending) {
             this.word = word;
             this.ending = ending;
         }
@@ -47,15 +47,15 @@
 
     /** What an endpoint list covers. */
     enum Listing {
-        CACHED("cached", Scope.CACHED),
-        FULL("full", Scope.FULL),
-        CHANGES("changes", Scope.CHANGES),
-        FAILED("failed", Scope.FAILED);
+        CACHED("cached", ListScope.CACHED),
+        FULL("full", ListScope.FULL),
+        CHANGES("changes", ListScope.CHANGES),
+        FAILED("failed", ListScope.FAILED);
 
         private final String word;
-        private final Scope scope;
+        private final ListScope scope;
 
-        Listing(String word, Scope scope) {
+        Listing(String word, ListScope scope) {
             this.word = word;
             this.scope = scope;
         }
@@ -63,14 +63,14 @@
 
     /** What an endpoint list says of a node. */
     enum Condition {
-        GONE("gone", State.GONE),
-        READY("ready", State.READY),
-        DRAINING("draining", State.DRAINING);
+        GONE("gone", NodeState.GONE),
+        READY("ready", NodeState.READY),
+        DRAINING("draining", NodeState.DRAINING);
 
         private final String word;
-        private final State state;
+        private final NodeState state;
 
-        Condition(String word, State state) {
+        Condition(String word, NodeState state) {
             this.word = word;
             this.state = state;
         }
@@ -111,7 +111,7 @@
     RecordedRouter(Settings settings, long seed, long clock) {
         this.settings = settings;
         host = new RecordingHost(transcript, clock);
-        router = new Router(settings, seed, clock, host, Learnt.NOTHING);
+        router = new Router(settings, seed, clock, host, WarmStartState.EMPTY);
     }
 
     /** The host, for what is open. */
@@ -151,8 +151,8 @@
                         a.size,
                         a.repeat ? " repeat" : "",
                         a.write ? " write" : ""),
-                new Event.OpArrived(
-                        new OpId(a.request),
+                new Event.RequestArrived(
+                        new RequestId(a.request),
                         new CategoryId(a.category),
                         new TenantId(a.tenant),
                         a.key < 0 ? null : new KeyId(a.key),
@@ -178,8 +178,8 @@
                         end.took,
                         end.over ? " over" : "",
                         line(end.report)),
-                new Event.PushEnded(
-                        new OpId(sent.request()),
+                new Event.AttemptEnded(
+                        new RequestId(sent.request()),
                         sent.attempt(),
                         new NodeId(sent.node()),
                         end.how.ending,
@@ -195,13 +195,16 @@
                 RunTranscript.line(
                         "stream request=%d attempt=%d node=%d took=%d",
                         sent.request(), sent.attempt(), sent.node(), took),
-                new Event.StreamBegan(
-                        new OpId(sent.request()), sent.attempt(), new NodeId(sent.node()), took));
+                new Event.StreamingStarted(
+                        new RequestId(sent.request()),
+                        sent.attempt(),
+                        new NodeId(sent.node()),
+                        took));
     }
 
     /** The client has gone away. */
     void drops(long request) {
-        tell("drop request=" + request, new Event.OpDropped(new OpId(request)));
+        tell("drop request=" + request, new Event.RequestCancelled(new RequestId(request)));
     }
 
     /** A probe ends. */
@@ -209,12 +212,14 @@
         tell(
                 RunTranscript.line(
                         "probed node=%d how=%s took=%d%s", node, how.word, took, line(report)),
-                new Event.ProbeEnded(new NodeId(node), how.ending, took, report));
+                new Event.HealthCheckEnded(new NodeId(node), how.ending, took, report));
     }
 
     /** Another proxy says something. */
     void peerSays(int peer, byte[] body) {
-        tell("peer " + peer + " bytes=" + body.length, new Event.PeerSaid(new PeerId(peer), body));
+        tell(
+                "peer " + peer + " bytes=" + body.length,
+                new Event.PeerMessageReceived(new PeerId(peer), body));
     }
 
     /** An endpoint list, or news of it. */
@@ -222,7 +227,7 @@
         String each = nodes.stream().map(node -> " " + line(node)).collect(Collectors.joining());
         tell(
                 RunTranscript.line("list %s nodes=%d%s", listing.word, nodes.size(), each),
-                new Event.Roster(
+                new Event.EndpointListReceived(
                         listing.scope,
                         ++version,
                         nodes.stream().map(RecordedRouter::entry).toList()));
@@ -230,49 +235,51 @@
 
     /** Staff take a node out or put it back. */
     void holds(long node, boolean on) {
-        tell("hold node=" + node + (on ? " on" : " off"), new Event.Held(new NodeId(node), on));
+        tell(
+                "hold node=" + node + (on ? " on" : " off"),
+                new Event.MaintenanceChanged(new NodeId(node), on));
     }
 
     /** So many proxies live. */
     void proxies(int count) {
-        tell("proxies " + count, new Event.Proxies(count));
+        tell("proxies " + count, new Event.LiveProxyCountChanged(count));
     }
 
     /** Other proxies doubt a node. */
     void doubts(long node) {
-        tell("doubt node=" + node, new Event.Doubted(new NodeId(node)));
+        tell("doubt node=" + node, new Event.NodeSuspected(new NodeId(node)));
     }
 
     /** Requests may go anywhere. */
     void placesAnywhere() {
-        tell("place anywhere", new Event.Placed(Placement.ANYWHERE));
+        tell("place anywhere", new Event.PlacementChanged(Placement.ANYWHERE));
     }
 
     /** Requests may go nowhere. */
     void placesNowhere() {
-        tell("place nowhere", new Event.Placed((point, category) -> Placement.NOWHERE));
+        tell("place nowhere", new Event.PlacementChanged((point, category) -> Placement.NOWHERE));
     }
 
     /** Requests of one category in two go to one zone; the others to a zone by their points. */
     void placesByZone(int zone, int zones) {
         tell(
                 "place zone=" + zone + " of=" + zones,
-                new Event.Placed(
+                new Event.PlacementChanged(
                         (point, category) ->
                                 new ZoneId(
-                                        category.stream()
+                                        category.isStreamed()
                                                 ? zone
                                                 : (int) Math.floorMod(point >> 8, (long) zones))));
     }
 
     /** The proxy is to end at a time. */
     void stopBy(long time) {
-        tell("stop by=" + time, new Event.StopBy(time));
+        tell("stop by=" + time, new Event.ShutdownScheduled(time));
     }
 
     /** Another router takes this one's place, some time later, with what it had learnt. */
     void restarts(long seed, long later) {
-        Learnt learnt = router.learnt();
+        WarmStartState learnt = router.warmStartState();
         writeLearnt(learnt);
         host.forgetAll();
         host.clock(host.clock() + later);
@@ -282,15 +289,17 @@
 
     /** Writes down what the router has learnt. */
     void writesLearnt() {
-        writeLearnt(router.learnt());
+        writeLearnt(router.warmStartState());
     }
 
-    private void writeLearnt(Learnt learnt) {
+    private void writeLearnt(WarmStartState learnt) {
         transcript.call(
                 host.clock(),
                 RunTranscript.line(
                         "learnt at=%d store=%s rate=%s",
-                        learnt.at(), exact(learnt.originSpan()), exact(learnt.sendRate())));
+                        learnt.recordedAt(),
+                        exact(learnt.originLatency()),
+                        exact(learnt.sendsPerSecond())));
         learnt.nodes().entrySet().stream()
                 .sorted(Comparator.comparingLong(each -> each.getKey().value()))
                 .map(
@@ -298,8 +307,8 @@
                                 RunTranscript.line(
                                         "learnt node=%d started=%d share=%s",
                                         each.getKey().value(),
-                                        each.getValue().started(),
-                                        exact(each.getValue().share())))
+                                        each.getValue().startedAt(),
+                                        exact(each.getValue().acceptedShare())))
                 .forEach(line -> transcript.call(host.clock(), line));
     }
 
@@ -317,8 +326,8 @@
         return new TimerId(timer);
     }
 
-    private static Event.Entry entry(Listed listed) {
-        return new Event.Entry(
+    private static Event.Endpoint entry(Listed listed) {
+        return new Event.Endpoint(
                 new NodeId(listed.node),
                 listed.condition.state,
                 new MachineKind(listed.kind),
--- a/src/test/java/cairnbridge/decision/RecordedSettings.java
+++ b/src/test/java/cairnbridge/decision/RecordedSettings.java
@@ -4,8 +4,8 @@
 import cairnbridge.decision.Ids.PeerId;
 import cairnbridge.decision.Ids.ZoneId;
 import cairnbridge.decision.Settings.Category;
+import cairnbridge.decision.Settings.DeduplicationScope;
 import cairnbridge.decision.Settings.Effect;
-import cairnbridge.decision.Settings.Group;
 import cairnbridge.decision.Settings.Tenant;
 import java.util.List;
 
@@ -82,10 +82,10 @@
 
     private static List<Category> singleCategories() {
         return List.of(
-                category(Effect.REDELIVERABLE, Group.ALL, SECOND, 1, 0.5, false),
-                category(Effect.DEDUPLICATED, Group.ALL, SECOND, 2, 0, false),
-                category(Effect.AT_MOST_ONCE, Group.ALL, SECOND, 1, 0.2, false),
-                category(Effect.REDELIVERABLE, Group.ZONE, SECOND, 0.5, 0, true));
+                category(Effect.IDEMPOTENT, DeduplicationScope.ALL_NODES, SECOND, 1, 0.5, false),
+                category(Effect.DEDUPLICATED, DeduplicationScope.ALL_NODES, SECOND, 2, 0, false),
+                category(Effect.AT_MOST_ONCE, DeduplicationScope.ALL_NODES, SECOND, 1, 0.2, false),
+                category(Effect.IDEMPOTENT, DeduplicationScope.ZONE, SECOND, 0.5, 0, true));
     }
 
     /** One of many proxies: nothing beside the caches, no second copies, no cancel, subscribes. */
@@ -125,9 +125,9 @@
 
     private static List<Category> manyCategories() {
         return List.of(
-                category(Effect.REDELIVERABLE, Group.ALL, SECOND, 1, 0.5, false),
-                category(Effect.REDELIVERABLE, Group.CELL, SECOND, 3, 0, true),
-                category(Effect.DEDUPLICATED, Group.CELL, SECOND, 1, 0.5, false));
+                category(Effect.IDEMPOTENT, DeduplicationScope.ALL_NODES, SECOND, 1, 0.5, false),
+                category(Effect.IDEMPOTENT, DeduplicationScope.CELL, SECOND, 3, 0, true),
+                category(Effect.DEDUPLICATED, DeduplicationScope.CELL, SECOND, 1, 0.5, false));
     }
 
     /** Zones, requests that may not run twice, short windows, no retry advice, no warm-up. */
@@ -167,12 +167,18 @@
 
     private static List<Category> zonesCategories() {
         return List.of(
-                category(Effect.DEDUPLICATED, Group.ALL, SECOND / 5, 1, 0.5, false),
-                category(Effect.DEDUPLICATED, Group.ZONE, SECOND / 5, 2, 0, true),
-                category(Effect.DEDUPLICATED, Group.CELL, SECOND / 5, 1, 0, false),
-                category(Effect.AT_MOST_ONCE, Group.ZONE, SECOND / 5, 1, 0.5, false),
-                category(Effect.AT_MOST_ONCE, Group.CELL, SECOND / 5, 0.5, 0, true),
-                category(Effect.REDELIVERABLE, Group.ZONE, SECOND / 5, 1, 0.5, false));
+                category(
+                        Effect.DEDUPLICATED,
+                        DeduplicationScope.ALL_NODES,
+                        SECOND / 5,
+                        1,
+                        0.5,
+                        false),
+                category(Effect.DEDUPLICATED, DeduplicationScope.ZONE, SECOND / 5, 2, 0, true),
+                category(Effect.DEDUPLICATED, DeduplicationScope.CELL, SECOND / 5, 1, 0, false),
+                category(Effect.AT_MOST_ONCE, DeduplicationScope.ZONE, SECOND / 5, 1, 0.5, false),
+                category(Effect.AT_MOST_ONCE, DeduplicationScope.CELL, SECOND / 5, 0.5, 0, true),
+                category(Effect.IDEMPOTENT, DeduplicationScope.ZONE, SECOND / 5, 1, 0.5, false));
     }
 
     private static Shape shape(String name, long seed, Settings settings, int zones) {
@@ -191,7 +197,7 @@
 
     private static Category category(
             Effect effect,
-            Group group,
+            DeduplicationScope group,
             long memory,
             double benefit,
             double lateBenefit,
--- a/src/test/java/cairnbridge/decision/RecordingHost.java
+++ b/src/test/java/cairnbridge/decision/RecordingHost.java
@@ -1,8 +1,8 @@
 package cairnbridge.decision;
 
 import cairnbridge.decision.Ids.NodeId;
-import cairnbridge.decision.Ids.OpId;
 import cairnbridge.decision.Ids.PeerId;
+import cairnbridge.decision.Ids.RequestId;
 import cairnbridge.decision.Ids.TimerId;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -82,7 +82,7 @@
     }
 
     @Override
-    public void push(OpId op, NodeId node, long timeOut, long latestBegin) {
+    public void sendAttempt(RequestId op, NodeId node, long timeOut, long latestBegin) {
         long request = op.value();
         int attempt = attempts.merge(request, 1, Integer::sum) - 1;
         boolean second = open.stream().anyMatch(sent -> sent.request() == request);
@@ -99,7 +99,7 @@
     }
 
     @Override
-    public void cancel(OpId op, int push) {
+    public void cancelAttempt(RequestId op, int push) {
         open.stream()
                 .filter(sent -> sent.request() == op.value() && sent.attempt() == push)
                 .forEach(cancelled::add);
@@ -107,43 +107,43 @@
     }
 
     @Override
-    public void nack(OpId op, long retryAfter) {
+    public void rejectRetryable(RequestId op, long retryAfter) {
         call("nack request=" + op.value() + " retry=" + retryAfter);
     }
 
     @Override
-    public void deadLetter(OpId op) {
+    public void failPermanently(RequestId op) {
         call("dead request=" + op.value());
     }
 
     @Override
-    public void timer(long in, TimerId timer) {
+    public void startTimer(long in, TimerId timer) {
         timers.computeIfAbsent(clock + in, due -> new ArrayList<>()).add(timer.value());
         call("timer " + timer.value() + " in=" + in);
     }
 
     @Override
-    public void probe(NodeId node) {
+    public void checkHealth(NodeId node) {
         call("probe node=" + node.value());
     }
 
     @Override
-    public void tellPeer(PeerId peer, byte[] body) {
+    public void sendToPeer(PeerId peer, byte[] body) {
         call("tell peer=" + (peer == null ? "all" : peer.value()) + " bytes=" + body.length);
     }
 
     @Override
-    public void subscribe(boolean on) {
+    public void subscribeToEndpoints(boolean on) {
         call("subscribe " + (on ? "on" : "off"));
     }
 
     @Override
-    public void fetchRoster() {
+    public void fetchEndpointList() {
         call("fetch-list");
     }
 
     @Override
-    public void avoids(int nodes) {
+    public void avoidedNodeCountChanged(int nodes) {
         call("avoids " + nodes);
     }
 
--- a/src/test/java/cairnbridge/decision/RouterTest.java
+++ b/src/test/java/cairnbridge/decision/RouterTest.java
@@ -9,14 +9,14 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cairnbridge.decision.Event.Ending;
-import cairnbridge.decision.Event.State;
+import cairnbridge.decision.Event.AttemptOutcome;
+import cairnbridge.decision.Event.NodeState;
 import cairnbridge.decision.Ids.NodeId;
-import cairnbridge.decision.Ids.OpId;
 import cairnbridge.decision.Ids.PeerId;
+import cairnbridge.decision.Ids.RequestId;
 import cairnbridge.decision.Ids.TimerId;
+import cairnbridge.decision.Settings.DeduplicationScope;
 import cairnbridge.decision.Settings.Effect;
-import cairnbridge.decision.Settings.Group;
 import cairnbridge.decision.Settings.Tenant;
 import java.lang.ref.WeakReference;
 import java.util.ArrayList;
@@ -35,26 +35,28 @@
 class RouterTest {
     @Test
     void aKeyStaysWithItsNodeAndSpillsOnlyOverTheCap() {
-        FakeHost host = new FakeHost(Effect.REDELIVERABLE).listed(8);
+        FakeHost host = new FakeHost(Effect.IDEMPOTENT).listed(8);
         long home = host.op(1, 77, SECOND).lastNode();
         assertEquals(home, host.op(2, 77, SECOND).lastNode());
         long spilled = host.op(3, 77, SECOND).lastNode();
         assertNotEquals(home, spilled, "two are in flight there, the floor of the cap");
-        host.ends(host.pushes.get(0), Ending.ACKED, 10);
+        host.ends(host.pushes.get(0), AttemptOutcome.SUCCESS, 10);
         assertEquals(home, host.op(4, 77, SECOND).lastNode());
     }
 
     /** Guards against a list that speaks for a node that staff have taken out. */
     @ParameterizedTest
     @CsvSource({"READY", "DRAINING", "GONE"})
-    void aNodeTakenOutGetsNothingWhateverTheListSaysAndComesBackCold(State meanwhile) {
-        FakeHost host = new FakeHost(Effect.REDELIVERABLE).listed(4);
+    void aNodeTakenOutGetsNothingWhateverTheListSaysAndComesBackCold(NodeState meanwhile) {
+        FakeHost host = new FakeHost(Effect.IDEMPOTENT).listed(4);
         long home = host.op(1, 77, SECOND).lastNode();
-        host.ends(Ending.ACKED, 1).held(home, true).held(home, true);
-        host.pass(SECOND).changed(entry(home, meanwhile, 0)).changed(entry(home, State.READY, 0));
+        host.ends(AttemptOutcome.SUCCESS, 1).held(home, true).held(home, true);
+        host.pass(SECOND)
+                .changed(entry(home, meanwhile, 0))
+                .changed(entry(home, NodeState.READY, 0));
         for (long key = 100; key < 160; key++) {
             assertNotEquals(home, host.op(key, key, SECOND).lastNode());
-            host.ends(Ending.ACKED, 1);
+            host.ends(AttemptOutcome.SUCCESS, 1);
         }
         host.pass(SECOND);
         assertEquals(1, host.avoided);
@@ -63,7 +65,7 @@
         int there = 0;
         for (long key = 200; key < 260; key++) {
             there += host.op(key, key, SECOND).lastNode() == home ? 1 : 0;
-            host.ends(Ending.ACKED, 1);
+            host.ends(AttemptOutcome.SUCCESS, 1);
         }
         assertTrue(there > 0 && there < 10, there + " of 60 met a node that may be cold");
     }
@@ -73,25 +75,25 @@
      */
     @Test
     void whoWaitsForAFetchAsksTheCacheOnceItsAnswerHasBegun() {
-        FakeHost host = new FakeHost(Effect.REDELIVERABLE).listed(4);
+        FakeHost host = new FakeHost(Effect.IDEMPOTENT).listed(4);
         long home = host.op(1, 77, SECOND).lastNode();
-        host.ends(Ending.MISS, 1).op(2, 77, SECOND);
+        host.ends(AttemptOutcome.CACHE_MISS, 1).op(2, 77, SECOND);
         assertEquals(ORIGIN, host.lastNode());
-        host.tell(new Event.StreamBegan(new OpId(1), 1, new NodeId(ORIGIN), 10));
+        host.tell(new Event.StreamingStarted(new RequestId(1), 1, new NodeId(ORIGIN), 10));
         assertEquals(home, host.lastNode());
         assertEquals(3, host.pushes.size());
     }
 
     @Test
     void anOriginTakenOutIsNotAsked() {
-        FakeHost host = new FakeHost(Effect.REDELIVERABLE).listed(2).held(ORIGIN, true);
-        host.op(1, 77, SECOND).ends(Ending.MISS, 1);
+        FakeHost host = new FakeHost(Effect.IDEMPOTENT).listed(2).held(ORIGIN, true);
+        host.op(1, 77, SECOND).ends(AttemptOutcome.CACHE_MISS, 1);
         assertEquals(List.of("nack 1"), host.answers);
     }
 
     @Test
     void aNodeThatIsGoneIsForgotten() throws InterruptedException {
-        FakeHost host = new FakeHost(Effect.REDELIVERABLE).listed(2);
+        FakeHost host = new FakeHost(Effect.IDEMPOTENT).listed(2);
         WeakReference<Object> id = host.comesAndGoes(5000);
         for (int turn = 0; id.get() != null && turn < 50; turn++) {
             System.gc();
@@ -102,16 +104,16 @@
 
     @Test
     void aLostNodeMovesOnlyItsOwnKeys() {
-        FakeHost host = new FakeHost(Effect.REDELIVERABLE).listed(6);
+        FakeHost host = new FakeHost(Effect.IDEMPOTENT).listed(6);
         Map<Long, Long> homes = new HashMap<>();
         for (long key = 0; key < 200; key++) {
             homes.put(key, host.op(key, key, SECOND).lastNode());
-            host.ends(Ending.ACKED, 1);
+            host.ends(AttemptOutcome.SUCCESS, 1);
         }
-        host.changed(entry(3, State.GONE, 0));
+        host.changed(entry(3, NodeState.GONE, 0));
         for (long key = 0; key < 200; key++) {
             long node = host.op(1000 + key, key, SECOND).lastNode();
-            host.ends(Ending.ACKED, 1);
+            host.ends(AttemptOutcome.SUCCESS, 1);
             if (homes.get(key) == 3) {
                 assertNotEquals(3, node);
             } else {
@@ -122,7 +124,7 @@
 
     @Test
     void aFleetThatDoublesHalvesAndComesBackKeepsItsHomes() {
-        FakeHost host = new FakeHost(Effect.REDELIVERABLE).listed(300);
+        FakeHost host = new FakeHost(Effect.IDEMPOTENT).listed(300);
         List<Long> before = homes(host, 0);
         host.listed(600);
         List<Long> grown = homes(host, 1000);
@@ -135,7 +137,7 @@
         List<Long> homes = new ArrayList<>();
         for (long key = 0; key < 40; key++) {
             homes.add(host.op(firstOp + key, key, SECOND).lastNode());
-            host.ends(Ending.ACKED, 1);
+            host.ends(AttemptOutcome.SUCCESS, 1);
         }
         return homes;
     }
@@ -147,13 +149,13 @@
         host.op(1, 5, SECOND).pass(SECOND - 1);
         assertEquals(1, host.answers.size());
         int sent = host.pushes.size();
-        host.ends(host.pushes.get(0), Ending.TIMED_OUT, 1).pass(SECOND);
+        host.ends(host.pushes.get(0), AttemptOutcome.TIMED_OUT, 1).pass(SECOND);
         assertEquals(1, host.answers.size());
         assertEquals(sent, host.pushes.size(), "nothing is sent after the answer");
     }
 
     @ParameterizedTest
-    @CsvSource({"REDELIVERABLE, nack 1", "DEDUPLICATED, dead 1", "AT_MOST_ONCE, dead 1"})
+    @CsvSource({"IDEMPOTENT, nack 1", "DEDUPLICATED, dead 1", "AT_MOST_ONCE, dead 1"})
     void anOpOutAtItsTtlIsNackedOnlyWhereComingBackLaterIsHarmless(Effect effect, String answer) {
         FakeHost host = new FakeHost(effect).listed(3);
         host.op(1, 5, SECOND).pass(SECOND);
@@ -165,13 +167,14 @@
 
     @ParameterizedTest
     @CsvSource({
-        "AT_MOST_ONCE, ERROR, false", "AT_MOST_ONCE, BROKEN, false",
+        "AT_MOST_ONCE, ERROR, false", "AT_MOST_ONCE, CONNECTION_LOST, false",
                 "AT_MOST_ONCE, TIMED_OUT, false",
-        "AT_MOST_ONCE, FULL, true", "AT_MOST_ONCE, NO_CONNECTION, true",
-                "REDELIVERABLE, ERROR, true",
+        "AT_MOST_ONCE, OVERLOADED, true", "AT_MOST_ONCE, CONNECT_FAILED, true",
+                "IDEMPOTENT, ERROR, true",
         "DEDUPLICATED, ERROR, true"
     })
-    void aFurtherPushNeedsProofOrARepeatableEffect(Effect effect, Ending ending, boolean again) {
+    void aFurtherPushNeedsProofOrARepeatableEffect(
+            Effect effect, AttemptOutcome ending, boolean again) {
         FakeHost host = new FakeHost(effect).listed(3);
         host.op(1, 5, SECOND).ends(ending, 10);
         assertEquals(again ? 2 : 1, host.pushes.size());
@@ -179,12 +182,12 @@
     }
 
     @ParameterizedTest
-    @EnumSource(Group.class)
-    void aDeduplicatedOpStaysInItsGroup(Group group) {
+    @EnumSource(DeduplicationScope.class)
+    void aDeduplicatedOpStaysInItsGroup(DeduplicationScope group) {
         FakeHost host = new FakeHost(Effect.DEDUPLICATED, group, false).listed(1);
-        host.changed(entry(2, State.READY, 0), entry(ORIGIN, State.GONE, 0));
-        host.op(1, 5, SECOND).ends(Ending.BROKEN, 10);
-        boolean all = group == Group.ALL;
+        host.changed(entry(2, NodeState.READY, 0), entry(ORIGIN, NodeState.GONE, 0));
+        host.op(1, 5, SECOND).ends(AttemptOutcome.CONNECTION_LOST, 10);
+        boolean all = group == DeduplicationScope.ALL_NODES;
         assertEquals(all ? 2 : 1, host.pushes.size(), "the other node is of another zone and cell");
         assertEquals(
                 all ? List.of() : List.of("dead 1"), host.answers, "a nack would promise too much");
@@ -193,7 +196,7 @@
     @Test
     void aDeduplicatedOpIsNotRepeatedOnceItMayBeForgotten() {
         FakeHost host = new FakeHost(Effect.DEDUPLICATED).listed(3);
-        host.op(1, 5, 2 * SECOND).ends(Ending.BROKEN, SECOND);
+        host.op(1, 5, 2 * SECOND).ends(AttemptOutcome.CONNECTION_LOST, SECOND);
         assertEquals(1, host.pushes.size());
     }
 
@@ -202,12 +205,15 @@
      * first.
      */
     @ParameterizedTest
-    @CsvSource({"REDELIVERABLE, 20000", "AT_MOST_ONCE, 20000", "DEDUPLICATED, 10000"})
+    @CsvSource({"IDEMPOTENT, 20000", "AT_MOST_ONCE, 20000", "DEDUPLICATED, 10000"})
     void aPushIsToldUntilWhenItMayBegin(Effect effect, long further) {
         FakeHost host = new FakeHost(effect).listed(3);
         long start = host.clock;
         long tick = 10;
-        Ending first = effect == Effect.AT_MOST_ONCE ? Ending.NO_CONNECTION : Ending.BROKEN;
+        AttemptOutcome first =
+                effect == Effect.AT_MOST_ONCE
+                        ? AttemptOutcome.CONNECT_FAILED
+                        : AttemptOutcome.CONNECTION_LOST;
         host.op(1, 5, 2 * SECOND).ends(first, 10);
         assertEquals(List.of(start + 2 * SECOND - tick, start + further - tick), host.latestBegins);
     }
@@ -216,10 +222,10 @@
      * Guards against an op that outlasts its process: what was taken is answered before that ends.
      */
     @ParameterizedTest
-    @CsvSource({"REDELIVERABLE, nack 1", "AT_MOST_ONCE, dead 1"})
+    @CsvSource({"IDEMPOTENT, nack 1", "AT_MOST_ONCE, dead 1"})
     void aProxyThatIsToEndAnswersWhatItHasBeforeThen(Effect effect, String answer) {
         FakeHost host = new FakeHost(effect).listed(3).op(1, 5, 2 * SECOND).op(2, 6, SECOND / 10);
-        host.tell(new Event.StopBy(host.clock + SECOND));
+        host.tell(new Event.ShutdownScheduled(host.clock + SECOND));
         host.pass(SECOND - 1);
         assertEquals(
                 answer, host.answers.get(host.answers.size() - 1), "the second had its own TTL");
@@ -230,14 +236,14 @@
 
     @Test
     void aKeyHotterThanACacheSpreadsThoughNoCapIsReached() {
-        FakeHost host = new FakeHost(Effect.REDELIVERABLE).listed(8);
+        FakeHost host = new FakeHost(Effect.IDEMPOTENT).listed(8);
         Set<Long> used = new HashSet<>();
         for (long op = 0; op < 400; op++) {
             host.op(op, op % 2 == 0 ? 5 : op, SECOND);
             if (op % 2 == 0 && op > 200) {
                 used.add(host.lastNode());
             }
-            host.ends(Ending.ACKED, 20);
+            host.ends(AttemptOutcome.SUCCESS, 20);
         }
         assertTrue(
                 used.size() >= 4, "one key is half the traffic of eight caches, yet met " + used);
@@ -253,7 +259,7 @@
             host.write = true;
             for (long op = 2; op < 9; op++) {
                 if (host.op(op, op, SECOND).pushes.get(host.pushes.size() - 1).op() == op) {
-                    host.ends(Ending.TIMED_OUT, SECOND - 100);
+                    host.ends(AttemptOutcome.TIMED_OUT, SECOND - 100);
                 }
             }
             host.write = false;
@@ -266,12 +272,12 @@
     @ParameterizedTest
     @CsvSource({"true, true", "false, false"})
     void aClientsRepeatsHeatNoKey(boolean repeat, boolean stays) {
-        FakeHost host = new FakeHost(Effect.REDELIVERABLE).listed(8).acks(0, 100, 20);
+        FakeHost host = new FakeHost(Effect.IDEMPOTENT).listed(8).acks(0, 100, 20);
         host.repeat = repeat;
         Set<Long> used = new HashSet<>();
         for (long op = 100; op < 200; op++) {
             used.add(host.op(op, 5, SECOND).lastNode());
-            host.ends(Ending.ACKED, 20);
+            host.ends(AttemptOutcome.SUCCESS, 20);
         }
         assertEquals(stays, used.size() == 1, "100 ops of one key went to " + used);
     }
@@ -310,7 +316,7 @@
         FakeHost host = FakeHost.reporting("inflight qps", 1).listed(8);
         long home = host.op(1, 77, SECOND).lastNode();
         host.reports.put(home, new double[] {90, 10});
-        host.ends(Ending.ACKED, 20).pass(60 * SECOND);
+        host.ends(AttemptOutcome.SUCCESS, 20).pass(60 * SECOND);
         assertEquals(home, host.op(2, 77, SECOND).lastNode());
     }
 
@@ -318,7 +324,7 @@
     void aSlowKindOpensAPartOfItsPointsThoughItsSizeIsTheSame() {
         FakeHost host = FakeHost.reporting("inflight qps", 1).listed(4);
         for (long node = 1; node <= 4; node++) {
-            host.changed(entry(FakeHost.SLOW + node, State.READY, 0));
+            host.changed(entry(FakeHost.SLOW + node, NodeState.READY, 0));
             host.reports.put(node, new double[] {1, 20});
             host.reports.put(FakeHost.SLOW + node, new double[] {1, 6});
         }
@@ -336,9 +342,9 @@
             FakeHost host = FakeHost.oneOf(20, seed).listed(20);
             for (long op = 0; op < 49; op++) {
                 if (op == 40) {
-                    host.changed(entry(21, State.READY, host.clock)).pushes.clear();
+                    host.changed(entry(21, NodeState.READY, host.clock)).pushes.clear();
                 }
-                host.op(op, 100 * seed + op, SECOND).ends(Ending.ACKED, 20).pass(SECOND);
+                host.op(op, 100 * seed + op, SECOND).ends(AttemptOutcome.SUCCESS, 20).pass(SECOND);
             }
             cold += host.pushes.stream().filter(p -> p.node() == 21).count();
         }
@@ -351,9 +357,18 @@
     void aHeavyProxyOfManyIsNotTakenForExcess() {
         Tenant tenant = new Tenant(90, 1);
         FakeHost host =
-                new FakeHost(Effect.DEDUPLICATED, Group.ALL, true, 300, 1, tenant).listed(60);
+                new FakeHost(
+                                Effect.DEDUPLICATED,
+                                DeduplicationScope.ALL_NODES,
+                                true,
+                                300,
+                                1,
+                                tenant)
+                        .listed(60);
         for (long op = 0; op < 200; op++) {
-            host.op(op, op, SECOND).ends(Ending.ACKED, op < 100 ? 200 : 470).pass(SECOND / 20);
+            host.op(op, op, SECOND)
+                    .ends(AttemptOutcome.SUCCESS, op < 100 ? 200 : 470)
+                    .pass(SECOND / 20);
         }
         assertEquals(
                 List.of(),
@@ -363,17 +378,19 @@
 
     @Test
     void aListThatFailsIsAskedForLessAndLessOftenButInTime() {
-        FakeHost host = new FakeHost(Effect.REDELIVERABLE).listed(2);
+        FakeHost host = new FakeHost(Effect.IDEMPOTENT).listed(2);
         long asked = 0;
         for (int turn = 0; turn < 40; turn++) {
             host.calls.clear();
-            host.tell(new Event.Roster(Event.Scope.FAILED, 1, List.of()));
-            host.tell(new Event.Roster(Event.Scope.FAILED, 1, List.of()));
+            host.tell(new Event.EndpointListReceived(Event.ListScope.FAILED, 1, List.of()));
+            host.tell(new Event.EndpointListReceived(Event.ListScope.FAILED, 1, List.of()));
             long from = host.clock;
             while (host.calls.isEmpty()) {
                 host.pass(SECOND / 10);
             }
-            assertTrue(host.clock - from <= Bounds.MOST_WAIT_MILLIS * SECOND / 1000 + SECOND / 10);
+            assertTrue(
+                    host.clock - from
+                            <= TimeBudget.MAX_RETRY_WAIT_MILLIS * SECOND / 1000 + SECOND / 10);
             assertEquals(List.of("subscribe true"), host.calls, "two failures are one call");
             asked += host.clock - from;
         }
@@ -382,11 +399,11 @@
 
     @Test
     void aCrowdOfLateAnswersIsMetByPromptNacks() {
-        FakeHost host = new FakeHost(Effect.REDELIVERABLE).listed(4).acks(0, 200, 30);
+        FakeHost host = new FakeHost(Effect.IDEMPOTENT).listed(4).acks(0, 200, 30);
         for (long op = 200; op < 300; op++) {
             host.op(op, op, SECOND);
             if (op % 5 == 0) {
-                host.ends(Ending.ACKED, SECOND / 4);
+                host.ends(AttemptOutcome.SUCCESS, SECOND / 4);
             }
         }
         assertTrue(
@@ -395,9 +412,11 @@
 
     @Test
     void opsTurnedAwayUnseenByOneCacheDoNotShedThoseOfOthers() {
-        FakeHost host = new FakeHost(Effect.REDELIVERABLE).listed(8);
+        FakeHost host = new FakeHost(Effect.IDEMPOTENT).listed(8);
         for (long op = 0; op < 7; op++) {
-            host.op(op, op, SECOND).ends(Ending.FULL, SECOND / 5).ends(Ending.ACKED, 50);
+            host.op(op, op, SECOND)
+                    .ends(AttemptOutcome.OVERLOADED, SECOND / 5)
+                    .ends(AttemptOutcome.SUCCESS, 50);
         }
         for (long op = 10; op < 16; op++) {
             host.op(op, op, SECOND);
@@ -407,7 +426,7 @@
 
     @Test
     void anOpThatCannotMakeItInTheOriginsQueueIsAnsweredAtOnce() {
-        FakeHost host = new FakeHost(Effect.REDELIVERABLE).listed(4);
+        FakeHost host = new FakeHost(Effect.IDEMPOTENT).listed(4);
         host.write = true;
         host.acks(0, 40, 2000).answers.clear();
         for (long op = 40; op < 240; op++) {
@@ -420,20 +439,23 @@
 
     @Test
     void anOpThatCannotOutlastAnothersFetchIsAnsweredAtOnce() {
-        FakeHost host = new FakeHost(Effect.REDELIVERABLE).listed(4);
+        FakeHost host = new FakeHost(Effect.IDEMPOTENT).listed(4);
         host.write = true;
         host.acks(0, 40, 2000).answers.clear();
         host.write = false;
-        host.op(50, 5, SECOND).ends(Ending.MISS, 10).op(51, 5, SECOND / 10);
+        host.op(50, 5, SECOND).ends(AttemptOutcome.CACHE_MISS, 10).op(51, 5, SECOND / 10);
         assertEquals(List.of("nack 51"), host.answers, "fetches take twice as long as it has");
     }
 
     @Test
     void anEmptyListOrAnOddOneLeavesTheListHeldInUse() {
-        FakeHost host = new FakeHost(Effect.REDELIVERABLE).listed(2);
-        host.tell(new Event.Roster(Event.Scope.FULL, 3, List.of()));
-        host.tell(new Event.Roster(Event.Scope.CHANGES, 4, List.of()));
-        host.changed(entry(99, State.GONE, 0), entry(2, State.READY, 0), entry(2, State.READY, 0));
+        FakeHost host = new FakeHost(Effect.IDEMPOTENT).listed(2);
+        host.tell(new Event.EndpointListReceived(Event.ListScope.FULL, 3, List.of()));
+        host.tell(new Event.EndpointListReceived(Event.ListScope.CHANGES, 4, List.of()));
+        host.changed(
+                entry(99, NodeState.GONE, 0),
+                entry(2, NodeState.READY, 0),
+                entry(2, NodeState.READY, 0));
         host.acks(0, 20, 20);
         Set<Long> met = host.pushes.stream().map(FakeHost.Pushed::node).collect(Collectors.toSet());
         assertEquals(Set.of(1L, 2L), met);
@@ -442,7 +464,7 @@
     @Test
     void aDrainingNodeGetsNothingNew() {
         FakeHost host =
-                new FakeHost(Effect.REDELIVERABLE).listed(2).changed(entry(1, State.DRAINING, 0));
+                new FakeHost(Effect.IDEMPOTENT).listed(2).changed(entry(1, NodeState.DRAINING, 0));
         for (long op = 0; op < 40; op++) {
             assertEquals(2, host.op(op, op, SECOND).lastNode());
         }
@@ -450,8 +472,8 @@
 
     @Test
     void aColdNodeGetsAShareOfWhatWarmOnesGet() {
-        FakeHost host = new FakeHost(Effect.REDELIVERABLE).listed(3).acks(0, 600, 50);
-        host.changed(entry(4, State.READY, host.clock)).pushes.clear();
+        FakeHost host = new FakeHost(Effect.IDEMPOTENT).listed(3).acks(0, 600, 50);
+        host.changed(entry(4, NodeState.READY, host.clock)).pushes.clear();
         host.acks(600, 800, 50);
         long cold = host.pushes.stream().filter(p -> p.node() == 4).count();
         assertTrue(cold > 0 && cold < 25, "got " + cold + " of 200");
@@ -464,9 +486,9 @@
     void cachesThatAreAllColdGetAShareOfWhatAWarmOneWasSentBefore() {
         long[] sent = new long[2];
         for (int known = 0; known < 2; known++) {
-            FakeHost host = new FakeHost(Effect.REDELIVERABLE).followsKnowing(known * 40).listed(5);
+            FakeHost host = new FakeHost(Effect.IDEMPOTENT).followsKnowing(known * 40).listed(5);
             for (long node = 1; node <= 5; node++) {
-                host.changed(entry(node, State.READY, host.clock));
+                host.changed(entry(node, NodeState.READY, host.clock));
             }
             for (long op = 0;
                     op < 100;
@@ -475,7 +497,7 @@
                 host.op(op, op, SECOND).pass(SECOND / 100);
                 if (host.pushes.size() > before && host.lastNode() <= 5) {
                     sent[known]++;
-                    host.ends(Ending.ACKED, 0);
+                    host.ends(AttemptOutcome.SUCCESS, 0);
                 }
             }
         }
@@ -490,9 +512,9 @@
      */
     @Test
     void whatColdCachesMayBeSentIsSpreadOverTheSecond() {
-        FakeHost host = new FakeHost(Effect.REDELIVERABLE).followsKnowing(40).listed(5);
+        FakeHost host = new FakeHost(Effect.IDEMPOTENT).followsKnowing(40).listed(5);
         for (long node = 1; node <= 5; node++) {
-            host.changed(entry(node, State.READY, host.clock));
+            host.changed(entry(node, NodeState.READY, host.clock));
         }
         int[] sent = new int[8];
         for (long op = 0; op < 400; op++) { // Four seconds of 100 ops, by halves.
@@ -500,7 +522,7 @@
             host.op(op, op, SECOND).pass(SECOND / 100);
             if (host.pushes.size() > before && host.lastNode() <= 5) {
                 sent[(int) (op / 50)]++;
-                host.ends(Ending.ACKED, 0);
+                host.ends(AttemptOutcome.SUCCESS, 0);
             }
         }
         for (int half = 2; half < sent.length; half++) {
@@ -513,7 +535,7 @@
     /** What is handed on is what was sent a second for a cache of size one. */
     @Test
     void theRateThatAWarmCacheIsSentIsLearnt() {
-        FakeHost host = new FakeHost(Effect.REDELIVERABLE).listed(4);
+        FakeHost host = new FakeHost(Effect.IDEMPOTENT).listed(4);
         host.acks(0, 2_000, SECOND / 100);
         assertTrue(
                 host.sendRate() > 20 && host.sendRate() < 30,
@@ -526,9 +548,9 @@
      */
     @Test
     void aProxyThatHasJustStartedUsesColdCachesFromItsFirstOpsOn() {
-        FakeHost host = new FakeHost(Effect.REDELIVERABLE).listed(8);
+        FakeHost host = new FakeHost(Effect.IDEMPOTENT).listed(8);
         for (long node = 3; node <= 8; node++) {
-            host.changed(entry(node, State.READY, host.clock - 5 * SECOND));
+            host.changed(entry(node, NodeState.READY, host.clock - 5 * SECOND));
         }
         host.acks(0, 200, SECOND / 400);
         long cold = host.pushes.stream().filter(p -> p.node() > 2).count();
@@ -542,9 +564,9 @@
      */
     @Test
     void whatIsOnlyColdIsNoJam() {
-        FakeHost host = new FakeHost(Effect.REDELIVERABLE).listed(8).acks(0, 200, 100);
+        FakeHost host = new FakeHost(Effect.IDEMPOTENT).listed(8).acks(0, 200, 100);
         for (long node = 5; node <= 8; node++) {
-            host.changed(entry(node, State.READY, host.clock - 2 * SECOND));
+            host.changed(entry(node, NodeState.READY, host.clock - 2 * SECOND));
         }
         crowds(host, 200, 500);
         assertEquals(List.of(), host.answers);
@@ -555,7 +577,7 @@
      */
     @Test
     void whatIsQuickByAnyMeasureIsNoJam() {
-        FakeHost host = new FakeHost(Effect.REDELIVERABLE).listed(8).acks(0, 200, 3);
+        FakeHost host = new FakeHost(Effect.IDEMPOTENT).listed(8).acks(0, 200, 3);
         crowds(host, 25, 25);
         assertEquals(List.of(), host.answers);
     }
@@ -572,7 +594,7 @@
             }
             for (FakeHost.Pushed push :
                     List.copyOf(host.pushes.subList(before, host.pushes.size()))) {
-                host.ends(push, Ending.ACKED, push.node() > 4 ? high : low);
+                host.ends(push, AttemptOutcome.SUCCESS, push.node() > 4 ? high : low);
             }
         }
     }
@@ -583,7 +605,7 @@
         for (int seed = 0; seed < 100; seed++) {
             FakeHost host = FakeHost.oneOf(100, seed).listed(20);
             host.acks(0, 40, SECOND / 4);
-            host.changed(entry(21, State.READY, host.clock)).pushes.clear();
+            host.changed(entry(21, NodeState.READY, host.clock)).pushes.clear();
             host.acks(100 + 40 * seed, 140 + 40 * seed, SECOND / 50);
             cold += host.pushes.stream().filter(p -> p.node() == 21).count();
         }
@@ -596,7 +618,7 @@
         FakeHost host = FakeHost.oneOf(300, 1, new Tenant(90, 1)).listed(60);
         for (long op = 0; op < 40; op++) {
             host.op(op, op, SECOND)
-                    .ends(Ending.ACKED, op < 20 ? 200 : SECOND / 10)
+                    .ends(AttemptOutcome.SUCCESS, op < 20 ? 200 : SECOND / 10)
                     .pass(SECOND * 4);
         }
         assertEquals(List.of(), host.answers, "a third of an op a second is due, a quarter came");
@@ -617,16 +639,16 @@
     private static int spilled(int seed, long gap) {
         FakeHost host = FakeHost.oneOf(50, seed).listed(60);
         long home = host.op(1, 77, SECOND).lastNode();
-        host.ends(Ending.ACKED, 20)
+        host.ends(AttemptOutcome.SUCCESS, 20)
                 .pass(gap)
                 .op(2, 77, 2 * SECOND)
-                .ends(Ending.ACKED, SECOND / 2 - 1);
+                .ends(AttemptOutcome.SUCCESS, SECOND / 2 - 1);
         return host.op(3, 77, SECOND).lastNode() == home ? 0 : 1;
     }
 
     @Test
     void anOpStuckAtAJammedCacheGetsASecondCopyByHalfItsTarget() {
-        FakeHost host = new FakeHost(Effect.REDELIVERABLE).listed(8).acks(0, 40, SECOND / 5);
+        FakeHost host = new FakeHost(Effect.IDEMPOTENT).listed(8).acks(0, 40, SECOND / 5);
         int sent = host.op(100, 100, 2 * SECOND).pushes.size();
         host.pass(SECOND / 2);
         assertTrue(
@@ -643,7 +665,7 @@
             for (long op = 0; op < 12; op++) {
                 int before = host.pushes.size();
                 if (host.op(op, op, SECOND).pushes.size() > before) {
-                    host.ends(Ending.TIMED_OUT, SECOND - 100);
+                    host.ends(AttemptOutcome.TIMED_OUT, SECOND - 100);
                     fetched += op < 6 ? 0 : 1;
                 }
             }
@@ -655,12 +677,15 @@
 
     @Test
     void aProxyThatSawNothingForLongServesAtOnceThoughItsListWasStale() {
-        FakeHost host = new FakeHost(Effect.REDELIVERABLE).listed(3);
+        FakeHost host = new FakeHost(Effect.IDEMPOTENT).listed(3);
         host.pass(60 * SECOND).op(1, 5, SECOND);
-        host.ends(Ending.NO_CONNECTION, 10);
+        host.ends(AttemptOutcome.CONNECT_FAILED, 10);
         assertEquals(2, host.pushes.stream().map(FakeHost.Pushed::node).distinct().count());
-        host.changed(entry(1, State.GONE, 0), entry(2, State.GONE, 0), entry(3, State.GONE, 0));
-        host.op(2, 6, SECOND).changed(entry(2, State.READY, host.clock - 30 * SECOND));
+        host.changed(
+                entry(1, NodeState.GONE, 0),
+                entry(2, NodeState.GONE, 0),
+                entry(3, NodeState.GONE, 0));
+        host.op(2, 6, SECOND).changed(entry(2, NodeState.READY, host.clock - 30 * SECOND));
         assertEquals(2, host.op(3, 6, SECOND).lastNode(), "an id that came back");
         assertEquals(List.of("nack 2"), host.answers);
     }
@@ -671,10 +696,10 @@
         for (int seed = 0; seed < 20; seed++) {
             FakeHost host = FakeHost.oneOf(500, seed).listed(60);
             for (long op = 0; op < 12; op++) {
-                host.op(op, op, SECOND).ends(Ending.MISS, 10);
+                host.op(op, op, SECOND).ends(AttemptOutcome.CACHE_MISS, 10);
                 if (host.lastNode() == ORIGIN
                         && host.pushes.get(host.pushes.size() - 1).op() == op) {
-                    host.pass(SECOND).ends(Ending.CALLED_OFF, SECOND - 100);
+                    host.pass(SECOND).ends(AttemptOutcome.CANCELLED, SECOND - 100);
                     fetched += op < 2 ? 0 : 1;
                 }
             }
@@ -684,31 +709,31 @@
 
     @Test
     void aMissGoesToTheOriginAndItsFollowersWaitForIt() {
-        FakeHost host = new FakeHost(Effect.REDELIVERABLE).listed(4);
+        FakeHost host = new FakeHost(Effect.IDEMPOTENT).listed(4);
         long home = host.op(1, 5, SECOND).lastNode();
-        host.ends(Ending.MISS, 10);
+        host.ends(AttemptOutcome.CACHE_MISS, 10);
         assertEquals(ORIGIN, host.lastNode());
         host.op(2, 5, SECOND).op(3, 5, SECOND);
         assertEquals(2, host.pushes.size(), "the key is being fetched");
-        host.ends(Ending.ACKED, 100);
+        host.ends(AttemptOutcome.SUCCESS, 100);
         assertEquals(4, host.pushes.size());
         assertEquals(home, host.lastNode());
     }
 
     @Test
     void aNodeOfQuickErrorsLosesItsKeysAndIsTriedAgainLater() {
-        FakeHost host = new FakeHost(Effect.REDELIVERABLE).listed(5);
+        FakeHost host = new FakeHost(Effect.IDEMPOTENT).listed(5);
         long home = host.op(1, 5, SECOND).lastNode();
-        host.ends(Ending.ERROR, 5).ends(Ending.ACKED, 5);
+        host.ends(AttemptOutcome.ERROR, 5).ends(AttemptOutcome.SUCCESS, 5);
         long op = 2;
         Set<Long> seen = new HashSet<>();
         for (; op < 100; op++) {
             host.op(op, 5, SECOND);
             boolean bad = host.lastNode() == home;
             seen.add(host.lastNode());
-            host.ends(bad ? Ending.ERROR : Ending.ACKED, 5);
+            host.ends(bad ? AttemptOutcome.ERROR : AttemptOutcome.SUCCESS, 5);
             if (bad) {
-                host.ends(Ending.ACKED, 5);
+                host.ends(AttemptOutcome.SUCCESS, 5);
             }
         }
         long asked = host.pushes.stream().filter(p -> p.node() == home).count();
@@ -716,7 +741,7 @@
         assertTrue(seen.size() > 1);
         host.pass(20 * SECOND).pushes.clear();
         for (; op < 140; op++) {
-            host.op(op, 5, SECOND).ends(Ending.ACKED, 5);
+            host.op(op, 5, SECOND).ends(AttemptOutcome.SUCCESS, 5);
         }
         assertTrue(host.pushes.stream().anyMatch(p -> p.node() == home), "it is asked again");
     }
@@ -725,29 +750,34 @@
     @CsvSource({"1, 0, true", "1, 5, false", "600, 0, false"})
     void afterASwitchABadNodeIsKnownUnlessItStartedAnewOrThatIsLongAgo(
             int later, int start, boolean known) {
-        FakeHost before = new FakeHost(Effect.REDELIVERABLE).listed(5);
+        FakeHost before = new FakeHost(Effect.IDEMPOTENT).listed(5);
         long home = before.op(1, 5, SECOND).lastNode();
         for (long op = 2; op < 30; op++) {
-            before.ends(before.lastNode() == home ? Ending.ERROR : Ending.ACKED, 5)
+            before.ends(
+                            before.lastNode() == home
+                                    ? AttemptOutcome.ERROR
+                                    : AttemptOutcome.SUCCESS,
+                            5)
                     .op(op, op, SECOND);
         }
-        FakeHost host = new FakeHost(Effect.DEDUPLICATED, Group.ALL, true, 300, 1);
+        FakeHost host =
+                new FakeHost(Effect.DEDUPLICATED, DeduplicationScope.ALL_NODES, true, 300, 1);
         host.follows(before, later * SECOND).listed(5);
-        host.changed(entry(home, State.READY, start)).acks(100, 300, 20);
+        host.changed(entry(home, NodeState.READY, start)).acks(100, 300, 20);
         long there = host.pushes.subList(0, 50).stream().filter(p -> p.node() == home).count();
         assertEquals(known, there < 5, there + " of the first 50 went there");
     }
 
     @Test
     void aCutNetworkIsRoutedAroundThoughItTakesMostCaches() {
-        FakeHost host = new FakeHost(Effect.REDELIVERABLE).listed(5);
+        FakeHost host = new FakeHost(Effect.IDEMPOTENT).listed(5);
         long op = 0;
         for (; op < 150; op++) {
             host.op(op, op, SECOND);
             while (host.lastNode() > 2 && host.answers.isEmpty()) {
-                host.ends(Ending.NO_CONNECTION, 20);
+                host.ends(AttemptOutcome.CONNECT_FAILED, 20);
             }
-            host.ends(Ending.ACKED, 20);
+            host.ends(AttemptOutcome.SUCCESS, 20);
         }
         assertTrue(host.answers.isEmpty(), "each op found one of the two caches within reach");
         long lost = host.pushes.stream().filter(p -> p.node() > 2).count();
@@ -756,7 +786,7 @@
 
     @Test
     void aGivenUpOpIsAnsweredInTheSameBreath() {
-        FakeHost host = new FakeHost(Effect.REDELIVERABLE);
+        FakeHost host = new FakeHost(Effect.IDEMPOTENT);
         host.op(1, 5, SECOND);
         assertEquals(List.of("nack 1"), host.answers, "no node is known");
         host.op(2, 5, 0);
@@ -767,11 +797,11 @@
     void strayEventsAreIgnored() {
         FakeHost host = new FakeHost(Effect.AT_MOST_ONCE).listed(2);
         host.tell(new Event.TimerFired(new TimerId(12345)));
-        host.tell(new Event.OpDropped(new OpId(99)));
-        host.tell(new Event.PeerSaid(new PeerId(7), new byte[] {1, 2, 3}));
-        host.op(1, 5, SECOND).ends(Ending.ACKED, 5);
-        host.ends(host.pushes.get(0), Ending.ERROR, 5);
-        host.tell(new Event.OpDropped(new OpId(1)));
+        host.tell(new Event.RequestCancelled(new RequestId(99)));
+        host.tell(new Event.PeerMessageReceived(new PeerId(7), new byte[] {1, 2, 3}));
+        host.op(1, 5, SECOND).ends(AttemptOutcome.SUCCESS, 5);
+        host.ends(host.pushes.get(0), AttemptOutcome.ERROR, 5);
+        host.tell(new Event.RequestCancelled(new RequestId(1)));
         assertTrue(host.answers.isEmpty());
         assertFalse(host.pushes.size() > 1);
     }
@@ -784,17 +814,17 @@
     void whatIsSharedOutFollowsTheLivingProxies() {
         FakeHost few = FakeHost.oneOf(300, 1, new Tenant(90, 1)).listed(60);
         FakeHost many = FakeHost.oneOf(300, 1, new Tenant(90, 1)).listed(60);
-        few.tell(new Event.Proxies(3));
+        few.tell(new Event.LiveProxyCountChanged(3));
         for (FakeHost host : List.of(few, many)) {
             host.write = true;
             for (long op = 0; op < 60; op++) {
-                host.op(op, op, SECOND).ends(Ending.ACKED, SECOND - 100);
+                host.op(op, op, SECOND).ends(AttemptOutcome.SUCCESS, SECOND - 100);
             }
             host.pushes.clear();
             for (long op = 100; op < 160; op++) {
                 host.op(op, op, SECOND);
                 if (!host.pushes.isEmpty() && host.pushes.get(host.pushes.size() - 1).op() == op) {
-                    host.ends(Ending.ACKED, SECOND - 100);
+                    host.ends(AttemptOutcome.SUCCESS, SECOND - 100);
                 }
             }
         }
@@ -814,10 +844,10 @@
      */
     @Test
     void aHintMakesANodeDistrustedSoonerAndTrustIsWonBackByItsOwnAnswersOnly() {
-        FakeHost told = new FakeHost(Effect.REDELIVERABLE).listed(5);
+        FakeHost told = new FakeHost(Effect.IDEMPOTENT).listed(5);
         long home = told.op(1, 77, SECOND).lastNode();
-        told.ends(Ending.ACKED, 5).tell(new Event.Doubted(new NodeId(home)));
-        told.tell(new Event.Doubted(new NodeId(12345)));
+        told.ends(AttemptOutcome.SUCCESS, 5).tell(new Event.NodeSuspected(new NodeId(home)));
+        told.tell(new Event.NodeSuspected(new NodeId(12345)));
         told.pushes.clear();
         told.acks(100, 300, 5);
         long there = told.pushes.subList(0, 60).stream().filter(p -> p.node() == home).count();
--- a/src/test/java/cairnbridge/fleet/coordination/CoordinationTest.java
+++ b/src/test/java/cairnbridge/fleet/coordination/CoordinationTest.java
@@ -176,25 +176,26 @@
                                 "{\"domain\":{\"mode\":\"aside\"," + "\"origin-kind\":1}}",
                                 "settings"));
         FleetLoadCounters tally = new FleetLoadCounters(List.of("a", "b"), settings, 0);
-        List<Event.Entry> entries = new ArrayList<>();
+        List<Event.Endpoint> entries = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             entries.add(
-                    new Event.Entry(
+                    new Event.Endpoint(
                             new NodeId(i),
-                            Event.State.READY,
+                            Event.NodeState.READY,
                             new MachineKind(0),
                             1,
                             0,
                             new CellId(0),
                             new ZoneId(i < 10 ? 0 : 1)));
         }
-        tally.endpointListChanged(new Event.Roster(Event.Scope.FULL, 1, entries));
+        tally.endpointListChanged(new Event.EndpointListReceived(Event.ListScope.FULL, 1, entries));
         for (int i = 0; i < 8; i++) {
-            tally.attemptEnded(new NodeId(i), 0, Event.Ending.NO_CONNECTION, 10, 5_000, SECOND + i);
+            tally.attemptEnded(
+                    new NodeId(i), 0, Event.AttemptOutcome.CONNECT_FAILED, 10, 5_000, SECOND + i);
             tally.attemptEnded(
                     new NodeId(10 + i),
                     0,
-                    i == 3 ? Event.Ending.ACKED : Event.Ending.BROKEN,
+                    i == 3 ? Event.AttemptOutcome.SUCCESS : Event.AttemptOutcome.CONNECTION_LOST,
                     10,
                     5_000,
                     SECOND + i);
@@ -204,19 +205,20 @@
         assertEquals(
                 List.of(Fnv1a.hash("b"), Fnv1a.hash("a")).stream().sorted().toList(),
                 tally.reachability().unreachableZones().stream().sorted().toList());
-        tally.probeEnded(new NodeId(12), Event.Ending.ACKED, 2 * SECOND);
+        tally.probeEnded(new NodeId(12), Event.AttemptOutcome.SUCCESS, 2 * SECOND);
         for (int i = 0; i < 8; i++) {
-            tally.probeEnded(new NodeId(i), Event.Ending.NO_CONNECTION, 2 * SECOND);
+            tally.probeEnded(new NodeId(i), Event.AttemptOutcome.CONNECT_FAILED, 2 * SECOND);
         }
         for (long now = 3 * SECOND; now < 60 * SECOND; now += SECOND / 4) {
             tally.publish(now);
             for (NodeId node : tally.nodesToProbe(now)) {
-                tally.probeEnded(node, Event.Ending.NO_CONNECTION, now);
+                tally.probeEnded(node, Event.AttemptOutcome.CONNECT_FAILED, now);
             }
             assertEquals(List.of(Fnv1a.hash("a")), tally.reachability().unreachableZones());
         }
         assertEquals(8, tally.reachability().unreachableNodes().size());
-        tally.endpointListChanged(new Event.Roster(Event.Scope.FULL, 2, entries.subList(10, 20)));
+        tally.endpointListChanged(
+                new Event.EndpointListReceived(Event.ListScope.FULL, 2, entries.subList(10, 20)));
         tally.publish(60 * SECOND);
         assertEquals(
                 List.of(),
--- a/src/test/java/cairnbridge/lab/LabTest.java
+++ b/src/test/java/cairnbridge/lab/LabTest.java
@@ -95,7 +95,9 @@
                             boolean bad = made[0]++ == 1;
                             int[] seen = {0};
                             return (clock, event) -> {
-                                if (bad && event instanceof Event.OpArrived && ++seen[0] == 50) {
+                                if (bad
+                                        && event instanceof Event.RequestArrived
+                                        && ++seen[0] == 50) {
                                     throw new IllegalStateException("a defect put in by hand");
                                 }
                                 real.handle(clock, event);
--- a/src/test/java/cairnbridge/proxy/AttemptTest.java
+++ b/src/test/java/cairnbridge/proxy/AttemptTest.java
@@ -8,7 +8,7 @@
 
 import cairnbridge.admin.ProxyMetrics;
 import cairnbridge.admin.ProxyMetrics.AttemptRejection;
-import cairnbridge.decision.Event.Ending;
+import cairnbridge.decision.Event.AttemptOutcome;
 import cairnbridge.decision.Ids.NodeId;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -71,7 +71,7 @@
         }
     }
 
-    private Ending ending() {
+    private AttemptOutcome ending() {
         Notice notice = inbox.poll();
         return notice instanceof Notice.PushOver over ? over.ending() : null;
     }
@@ -85,7 +85,7 @@
                 IOException.class,
                 () -> attempt.produceRequest((request, entity, context) -> sent = true, null));
         assertFalse(sent);
-        assertEquals(Ending.NEVER_SENT, ending());
+        assertEquals(AttemptOutcome.NOT_SENT, ending());
         assertTrue(
                 figures.format().contains("refused." + what.name().toLowerCase() + ":1|c"),
                 figures.format());
@@ -111,7 +111,7 @@
             assertTrue(attempt.isWritten());
         } else {
             assertThrows(IOException.class, () -> attempt.produce(out));
-            assertEquals(Ending.NEVER_SENT, ending());
+            assertEquals(AttemptOutcome.NOT_SENT, ending());
             assertEquals(40, out.taken);
         }
     }
--- a/src/test/java/cairnbridge/proxy/CrossingsTest.java
+++ b/src/test/java/cairnbridge/proxy/CrossingsTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cairnbridge.decision.Bounds;
+import cairnbridge.decision.TimeBudget;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.net.InetAddress;
@@ -247,7 +247,7 @@
         long millis = (System.nanoTime() - told) / 1_000_000;
         assertNotNull(answer);
         assertEquals(503, code(answer));
-        assertTrue(millis <= Bounds.stopEndsMillis(1000), "answered after " + millis);
+        assertTrue(millis <= TimeBudget.shutdownEndMillis(1000), "answered after " + millis);
         drain.join();
     }
 
@@ -273,7 +273,7 @@
         }
         assertEquals(503, code(message(client)));
         long millis = (System.nanoTime() - told) / 1_000_000;
-        assertTrue(millis <= 1000 + Bounds.KILL_SPARE_MILLIS, "answered after " + millis);
+        assertTrue(millis <= 1000 + TimeBudget.KILL_MARGIN_MILLIS, "answered after " + millis);
         assertEquals(-1, client.getInputStream().read(), "ended, not reset");
         process.waitFor(); // By itself; nothing is owed any more, so that a SIGKILL would find
         // nothing.
--- a/src/test/java/cairnbridge/proxy/DiscoveryTest.java
+++ b/src/test/java/cairnbridge/proxy/DiscoveryTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cairnbridge.decision.Bounds;
+import cairnbridge.decision.TimeBudget;
 import java.io.BufferedReader;
 import java.io.File;
 import java.io.IOException;
@@ -162,7 +162,7 @@
         untilInUse();
         long millis = (System.nanoTime() - back.get()) / 1_000_000;
         assertTrue(
-                millis <= Bounds.TOLD_MILLIS - Bounds.TOLD_SLACK_MILLIS / 2,
+                millis <= TimeBudget.NOTIFIED_MILLIS - TimeBudget.NOTIFIED_SLACK_MILLIS / 2,
                 "in hand after " + millis);
     }
 
@@ -188,7 +188,8 @@
         untilInUse();
         long millis = (System.nanoTime() - silent.get()) / 1_000_000;
         assertTrue(
-                millis <= Bounds.TOLD_MILLIS - Bounds.TOLD_SLACK_MILLIS, "in hand after " + millis);
+                millis <= TimeBudget.NOTIFIED_MILLIS - TimeBudget.NOTIFIED_SLACK_MILLIS,
+                "in hand after " + millis);
     }
 
     /**
@@ -288,7 +289,7 @@
         untilInUse();
         long millis = (System.nanoTime() - back.get()) / 1_000_000;
         assertTrue(
-                millis <= Bounds.TOLD_MILLIS - Bounds.TOLD_SLACK_MILLIS / 2,
+                millis <= TimeBudget.NOTIFIED_MILLIS - TimeBudget.NOTIFIED_SLACK_MILLIS / 2,
                 "in hand after " + millis);
     }
 
@@ -364,7 +365,7 @@
         up.countDown();
         until(() -> told.get() > 0);
         long millis = (told.get() - back) / 1_000_000;
-        assertTrue(millis <= Bounds.TOLD_MILLIS, "the watch is back after " + millis);
+        assertTrue(millis <= TimeBudget.NOTIFIED_MILLIS, "the watch is back after " + millis);
         int code = 0;
         while (code == 0) {
             code = oneRead(port);
--- a/src/test/java/cairnbridge/proxy/ProxyTest.java
+++ b/src/test/java/cairnbridge/proxy/ProxyTest.java
@@ -10,7 +10,7 @@
 import cairnbridge.config.ConfigurationException;
 import cairnbridge.config.IpAddresses;
 import cairnbridge.config.ProxyConfig;
-import cairnbridge.decision.Event.Ending;
+import cairnbridge.decision.Event.AttemptOutcome;
 import cairnbridge.decision.Ids.NodeId;
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -217,13 +217,13 @@
     @CsvSource(
             delimiter = ';',
             value = {
-                "200 OK||; ACKED",
+                "200 OK||; SUCCESS",
                 "503 Ill||; ERROR",
-                "reset; BROKEN",
+                "reset; CONNECTION_LOST",
                 "silent; TIMED_OUT",
-                "; NO_CONNECTION"
+                "; CONNECT_FAILED"
             })
-    void aProbeTellsHowItWent(String does, Ending ending) throws Exception {
+    void aProbeTellsHowItWent(String does, AttemptOutcome ending) throws Exception {
         StandIn node = new StandIn(request -> does);
         ProxyConfig config = config(list(1, true), node.address());
         Inbox inbox = new Inbox(9);
--- a/src/test/java/cairnbridge/proxy/ReloadTest.java
+++ b/src/test/java/cairnbridge/proxy/ReloadTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cairnbridge.decision.Bounds;
+import cairnbridge.decision.TimeBudget;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -53,7 +53,7 @@
         until(() -> !moved.seen.isEmpty());
         until(() -> read(port) == 200 && !cache.seen.isEmpty());
         long millis = (System.nanoTime() - reloaded) / 1_000_000;
-        assertTrue(millis <= Bounds.RELOAD_TOLD_MILLIS, "in force after " + millis + " ms");
+        assertTrue(millis <= TimeBudget.RELOAD_NOTIFIED_MILLIS, "in force after " + millis + " ms");
         int sent = draining.seen.size();
         for (int i = 0; i < READS; i++) {
             assertEquals(200, read(port));
--- a/src/test/java/cairnbridge/recovery/RecoveryCoordinatorTest.java
+++ b/src/test/java/cairnbridge/recovery/RecoveryCoordinatorTest.java
@@ -7,10 +7,10 @@
 import cairnbridge.decision.Ids.CategoryId;
 import cairnbridge.decision.Ids.KeyId;
 import cairnbridge.decision.Ids.MachineKind;
-import cairnbridge.decision.Ids.OpId;
+import cairnbridge.decision.Ids.RequestId;
 import cairnbridge.decision.Settings.Category;
+import cairnbridge.decision.Settings.DeduplicationScope;
 import cairnbridge.decision.Settings.Effect;
-import cairnbridge.decision.Settings.Group;
 import cairnbridge.store.PersistedState;
 import cairnbridge.store.StoreSettings;
 import java.nio.file.Path;
@@ -33,9 +33,9 @@
     private static final int KEYED = 3;
     private static final List<Category> CATEGORIES =
             List.of(
-                    category(Effect.REDELIVERABLE, 1),
+                    category(Effect.IDEMPOTENT, 1),
                     category(Effect.AT_MOST_ONCE, 2),
-                    category(Effect.REDELIVERABLE, 9),
+                    category(Effect.IDEMPOTENT, 9),
                     category(Effect.DEDUPLICATED, 1));
     private static final RecoverySettings SETTINGS =
             new RecoverySettings(
@@ -46,7 +46,16 @@
                     120 * SECOND);
 
     private static Category category(Effect effect, double benefit) {
-        return new Category(effect, Group.ALL, SECOND, SECOND / 4, 2, SECOND, benefit, 0, false);
+        return new Category(
+                effect,
+                DeduplicationScope.ALL_NODES,
+                SECOND,
+                SECOND / 4,
+                2,
+                SECOND,
+                benefit,
+                0,
+                false);
     }
 
     private static final class Host implements RecoveryHost {
@@ -129,7 +138,7 @@
     private AdmissionDecision arrives(int category, long key) {
         return recovery.admit(
                 new IncomingRequest(
-                        new OpId(++ops),
+                        new RequestId(++ops),
                         new CategoryId(category),
                         new KeyId(key),
                         category == LOAN,
@@ -144,8 +153,8 @@
 
     /** The last op's push to the origin ended, and with it the op. */
     private void served(long op, boolean good, long took) {
-        recovery.attemptEnded(new OpId(op), true, good, took, now);
-        recovery.requestAnswered(new OpId(op));
+        recovery.attemptEnded(new RequestId(op), true, good, took, now);
+        recovery.requestAnswered(new RequestId(op));
     }
 
     /** To where reads are let through. */
@@ -214,7 +223,7 @@
         assertEquals(AdmissionDecision.Reason.ENDPOINT_LIST_UNCONFIRMED, arrives(LOAN, 2).reason());
         assertEquals(
                 AdmissionDecision.Reason.ENDPOINT_LIST_UNCONFIRMED, arrives(KEYED, 2).reason());
-        recovery.requestAnswered(new OpId(1));
+        recovery.requestAnswered(new RequestId(1));
         recovery.listReceived(7, 0, now);
         assertEquals(AdmissionDecision.Kind.ADMITTED, kind(LOAN, 2));
     }
@@ -246,7 +255,7 @@
         Set<AdmissionDecision.Reason> why = new HashSet<>();
         for (int key = 3; key < 20; key++) {
             why.add(arrives(DEAR, key).reason());
-            recovery.requestAnswered(new OpId(ops));
+            recovery.requestAnswered(new RequestId(ops));
         }
         assertEquals(
                 Set.of(AdmissionDecision.Reason.NONE, AdmissionDecision.Reason.KEY_BEING_FETCHED),
@@ -343,7 +352,7 @@
                 }
             }
             taken[round] = under.size();
-            under.forEach(op -> recovery.requestAnswered(new OpId(op)));
+            under.forEach(op -> recovery.requestAnswered(new RequestId(op)));
             passes(SECOND);
         }
         assertTrue(taken[0] <= 4 && taken[5] >= 20, taken[0] + " and " + taken[5]);
@@ -371,7 +380,7 @@
             AdmissionDecision verdict = arrives(DEAR, key);
             mine += verdict.kind() == AdmissionDecision.Kind.ADMITTED ? 1 : 0;
             waits += verdict.reason() == AdmissionDecision.Reason.KEY_BEING_FETCHED ? 1 : 0;
-            recovery.requestAnswered(new OpId(ops));
+            recovery.requestAnswered(new RequestId(ops));
         }
         assertTrue(
                 mine > 60 && mine < 140 && mine + waits == 300,
@@ -379,7 +388,7 @@
         now += SECOND;
         for (int key = 0; key < 300; key++) {
             assertEquals(AdmissionDecision.Kind.ADMITTED, kind(DEAR, key));
-            recovery.requestAnswered(new OpId(ops));
+            recovery.requestAnswered(new RequestId(ops));
         }
     }
 
@@ -392,7 +401,7 @@
         AdmissionDecision hidden =
                 recovery.admit(
                         new IncomingRequest(
-                                new OpId(++ops),
+                                new RequestId(++ops),
                                 loan,
                                 new KeyId(1),
                                 true,
@@ -404,7 +413,7 @@
         AdmissionDecision fresh =
                 recovery.admit(
                         new IncomingRequest(
-                                new OpId(++ops),
+                                new RequestId(++ops),
                                 loan,
                                 new KeyId(1),
                                 true,
@@ -422,7 +431,7 @@
         toReads();
         IncomingRequest repeat =
                 new IncomingRequest(
-                        new OpId(++ops),
+                        new RequestId(++ops),
                         new CategoryId(KEYED),
                         new KeyId(1),
                         true,
@@ -475,7 +484,7 @@
         now = 1_000 * SECOND;
         RecoveryCoordinator one = make(chance.nextInt(6), chance.nextInt(3) == 0 ? 0 : 7);
         RecoveryPhase last = RecoveryPhase.AWAIT_MEMBERS;
-        List<OpId> under = new ArrayList<>();
+        List<RequestId> under = new ArrayList<>();
         for (int step = 0; step < 200; step++) {
             now += chance.nextInt(5_000);
             switch (chance.nextInt(8)) {
@@ -498,7 +507,7 @@
                 case 4 -> one.advance(now);
                 case 5 -> {
                     if (!under.isEmpty()) {
-                        OpId op = under.remove(chance.nextInt(under.size()));
+                        RequestId op = under.remove(chance.nextInt(under.size()));
                         one.attemptEnded(
                                 op,
                                 chance.nextBoolean(),
@@ -510,7 +519,7 @@
                 }
                 default -> {
                     int category = chance.nextInt(CATEGORIES.size());
-                    OpId op = new OpId(++ops);
+                    RequestId op = new RequestId(++ops);
                     AdmissionDecision verdict =
                             one.admit(
                                     new IncomingRequest(
@@ -523,7 +532,7 @@
                                             chance.nextBoolean(),
                                             now + chance.nextLong(SECOND)),
                                     now);
-                    boolean once = CATEGORIES.get(category).effect() != Effect.REDELIVERABLE;
+                    boolean once = CATEGORIES.get(category).effect() != Effect.IDEMPOTENT;
                     boolean taken = verdict.kind() == AdmissionDecision.Kind.ADMITTED;
                     assertTrue(
                             !taken || !once || one.isEndpointListConfirmed(),
--- a/src/test/java/cairnbridge/scale/router/RouterScaleTest.java
+++ b/src/test/java/cairnbridge/scale/router/RouterScaleTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cairnbridge.decision.Event.State;
+import cairnbridge.decision.Event.NodeState;
 import cairnbridge.scale.router.DriveCounts.HostCall;
 import java.util.Arrays;
 import java.util.Map;
@@ -61,8 +61,8 @@
     private static long callsOfAChange(int nodes) {
         RouterLoad load = load(nodes, 1_800, 0);
         RouterDrive drive = RouterScale.drive(load, new int[0]);
-        drive.tell(load.change(1, State.DRAINING));
-        drive.tell(load.change(1, State.READY));
+        drive.tell(load.change(1, NodeState.DRAINING));
+        drive.tell(load.change(1, NodeState.READY));
         return drive.arrive(0).calls();
     }
 
