--- a/src/main/java/cairnbridge/cli/Main.java
+++ b/src/main/java/cairnbridge/cli/Main.java
@@ -7,7 +7,7 @@
 import cairnbridge.config.ProxyConfig;
 import cairnbridge.decision.WarmStartState;
 import cairnbridge.drill.scenario.ScenarioFault;
-import cairnbridge.proxy.Serve;
+import cairnbridge.proxy.ProxyServer;
 import cairnbridge.recovery.StateKeeper;
 import java.io.IOException;
 import java.util.Optional;
@@ -137,14 +137,14 @@
             ProxyConfig config = ProxyConfig.read(System.getenv());
             FleetConfig member = fleet == null ? null : FleetConfig.read(fleet, config.name());
             Optional<StateKeeper> keeper = member == null ? Optional.empty() : keeper(member);
-            Serve serve =
-                    new Serve(
+            ProxyServer serve =
+                    new ProxyServer(
                             config,
                             Main::end,
                             keeper.map(StateKeeper::learntTrust).orElse(WarmStartState.EMPTY));
             try {
                 if (member != null) {
-                    serve.join(
+                    serve.joinFleet(
                             keeper.map(
                                             mine ->
                                                     member.withPersisted(
@@ -188,7 +188,7 @@
     static final class RehearseCommand implements Callable<Integer> {
         @Override
         public Integer call() throws IOException, InterruptedException {
-            Serve serve = new Serve(ProxyConfig.rehearsal(), Main::end);
+            ProxyServer serve = new ProxyServer(ProxyConfig.rehearsal(), Main::end);
             serve.start();
             serve.stop();
             return 0;
--- a/src/main/java/cairnbridge/proxy/Accept.java
+++ b/src/main/java/cairnbridge/proxy/Acceptor.java
@@ -18,33 +18,33 @@
  * the same address: whoever stops first empties its queue, as what is left in the queue of a closed
  * socket is reset.
  */
-final class Accept implements Runnable {
-    private static final Logger LOG = Logger.getLogger(Accept.class.getName());
-    private static final int PACE_NANOS = 200_000;
-    private static final int FAULT_NANOS = 5_000_000;
+final class Acceptor implements Runnable {
+    private static final Logger LOG = Logger.getLogger(Acceptor.class.getName());
+    private static final int BACKPRESSURE_PAUSE_NANOS = 200_000;
+    private static final int ERROR_PAUSE_NANOS = 5_000_000;
 
-    private final ServerSocketChannel server;
+    private final ServerSocketChannel serverChannel;
     private final Selector selector;
-    private final BooleanSupplier mayTake;
-    private final Consumer<SocketChannel> taker;
+    private final BooleanSupplier canAccept;
+    private final Consumer<SocketChannel> channelHandler;
     private final CountDownLatch closed = new CountDownLatch(1);
     private volatile boolean stopped;
 
     /** mayTake holds it back while the taker is behind. */
-    Accept(
+    Acceptor(
             InetSocketAddress address,
             int backlog,
             BooleanSupplier mayTake,
             Consumer<SocketChannel> taker)
             throws IOException {
-        this.mayTake = mayTake;
-        this.taker = taker;
+        this.canAccept = mayTake;
+        this.channelHandler = taker;
         selector = Selector.open();
-        server = ListeningSocket.open(address, backlog, true, selector);
+        serverChannel = ListeningSocket.open(address, backlog, true, selector);
     }
 
     InetSocketAddress address() throws IOException {
-        return (InetSocketAddress) server.getLocalAddress();
+        return (InetSocketAddress) serverChannel.getLocalAddress();
     }
 
     /** Empties the queue and closes; returns once that is done. */
@@ -59,20 +59,20 @@
     @Override
     public void run() {
         try (selector;
-                server) {
+                serverChannel) {
             while (!stopped) {
                 selector.select();
                 selector.selectedKeys().clear();
-                takeAll();
+                acceptAll();
             }
             // Guards against a client reset in the queue: what a selector knows stays open until
             // that looks
             // again, and takes clients; so it is let go first, and closed right behind the last
             // accept.
-            server.keyFor(selector).cancel();
+            serverChannel.keyFor(selector).cancel();
             selector.selectNow();
-            takeAll();
-            server.close();
+            acceptAll();
+            serverChannel.close();
         } catch (IOException e) {
             LOG.log(Level.SEVERE, "accepting has ended", e);
         } finally {
@@ -80,22 +80,22 @@
         }
     }
 
-    private void takeAll() {
-        for (SocketChannel next = next(); next != null; next = next()) {
-            taker.accept(next);
+    private void acceptAll() {
+        for (SocketChannel next = acceptNext(); next != null; next = acceptNext()) {
+            channelHandler.accept(next);
         }
     }
 
-    private SocketChannel next() {
-        while (!stopped && !mayTake.getAsBoolean()) {
-            LockSupport.parkNanos(PACE_NANOS);
+    private SocketChannel acceptNext() {
+        while (!stopped && !canAccept.getAsBoolean()) {
+            LockSupport.parkNanos(BACKPRESSURE_PAUSE_NANOS);
         }
         try {
-            return server.accept();
+            return serverChannel.accept();
         } catch (IOException e) {
             // Guards against a thread that ends, or spins, while the process is out of descriptors.
             LOG.log(Level.WARNING, "accept: {0}", e.toString());
-            LockSupport.parkNanos(FAULT_NANOS);
+            LockSupport.parkNanos(ERROR_PAUSE_NANOS);
             return null;
         }
     }
--- a/src/main/java/cairnbridge/proxy/RemainingBytes.java
+++ b/src/main/java/cairnbridge/proxy/ByteArrayBody.java
@@ -7,32 +7,32 @@
 import org.apache.hc.core5.http.nio.DataStreamChannel;
 
 /** The bytes of a body that are still to be written. */
-final class RemainingBytes implements Body {
-    private final ByteBuffer bytes;
+final class ByteArrayBody implements MessageBody {
+    private final ByteBuffer remaining;
     private boolean ended;
 
     /** body is null where there is none. */
-    RemainingBytes(byte[] body) {
-        bytes = ByteBuffer.wrap(body == null ? new byte[0] : body);
+    ByteArrayBody(byte[] body) {
+        remaining = ByteBuffer.wrap(body == null ? new byte[0] : body);
     }
 
     @Override
-    public int left() {
-        return bytes.remaining();
+    public int availableBytes() {
+        return remaining.remaining();
     }
 
     @Override
-    public EntityDetails entity() {
-        return left() == 0 ? null : new BasicEntityDetails(left(), null);
+    public EntityDetails entityDetails() {
+        return availableBytes() == 0 ? null : new BasicEntityDetails(availableBytes(), null);
     }
 
     @Override
-    public boolean write(DataStreamChannel out) throws IOException {
+    public boolean writeTo(DataStreamChannel out) throws IOException {
         if (ended) { // The library asks again after the end.
             return false;
         }
-        out.write(bytes);
-        if (!bytes.hasRemaining()) {
+        out.write(remaining);
+        if (!remaining.hasRemaining()) {
             ended = true;
             out.endStream();
         }
--- a/src/main/java/cairnbridge/proxy/Sockets.java
+++ b/src/main/java/cairnbridge/proxy/ConnectionReactor.java
@@ -47,11 +47,11 @@
 import org.apache.hc.core5.util.Timeout;
 
 /** The one reactor, its connections both ways, and the budget of sockets that they share. */
-final class Sockets {
-    private static final Logger LOG = Logger.getLogger(Sockets.class.getName());
+final class ConnectionReactor {
+    private static final Logger LOG = Logger.getLogger(ConnectionReactor.class.getName());
 
     /** Descriptors that the process needs for itself: files, selectors, listener, watch. */
-    private static final int OWN = 24;
+    private static final int PROCESS_DESCRIPTORS = 24;
 
     /**
      * Parts of what is left: from the first on clients' connections end with their answer, from the
@@ -59,22 +59,22 @@
      * served. The first guards against idle connections that keep others out, as clients get a
      * third of all for their requests.
      */
-    private static final double CROWDED = 0.35;
+    private static final double CROWDED_SHARE = 0.35;
 
-    private static final double FULL = 0.75;
-    private static final double LAST = 1;
+    private static final double FULL_SHARE = 0.75;
+    private static final double EXHAUSTED_SHARE = 1;
 
     /**
      * Of the same: what clients never get, so that a dial to a node finds a descriptor whatever
      * they do.
      */
-    private static final double RESERVED = 0.125;
+    private static final double UPSTREAM_RESERVED_SHARE = 0.125;
 
     /** Of the same: what connections may hold that only wait for their client's end. */
-    private static final double LINGERING = 0.0625;
+    private static final double LINGERING_SHARE = 0.0625;
 
-    private static final int MOST_ACCEPTED = 8;
-    private static final int MOST_MORE = 15;
+    private static final int MAX_PENDING_ACCEPTED = 8;
+    private static final int MAX_EXTRA_READS = 15;
 
     /** A connection this long without a byte has no request on its way, as far as can be known. */
     private static final long QUIET_MILLIS = 150;
@@ -84,9 +84,9 @@
     /**
      * To read one request but for a long body, or for the first to come; and for the next to come.
      */
-    private static final long READ_MILLIS = 2200;
+    private static final long REQUEST_READ_MILLIS = 2200;
 
-    private static final long KEEP_MILLIS = 5000;
+    private static final long KEEP_ALIVE_MILLIS = 5000;
 
     /**
      * For a client to end its side once ours has ended; what it may send until then, or amid its
@@ -94,84 +94,92 @@
      */
     private static final long LINGER_MILLIS = 2000;
 
-    private static final long MOST_THROWN_AWAY = 1 << 20;
+    private static final long MAX_DISCARDED_BYTES = 1 << 20;
 
-    private static final int BUFFER = 4096;
+    private static final int BUFFER_BYTES = 4096;
 
     /** Of a head, in bytes and in fields: more is no request and no answer of this protocol. */
-    private static final int MOST_LINE = 4096;
+    private static final int MAX_HEAD_LINE_BYTES = 4096;
 
-    private static final int MOST_FIELDS = 40;
+    private static final int MAX_HEADERS = 40;
 
-    private static final long CHECK_MILLIS = 20;
+    private static final long SELECT_INTERVAL_MILLIS = 20;
 
-    private final Http1Config http =
+    private final Http1Config httpConfig =
             Http1Config.custom()
-                    .setBufferSize(BUFFER)
-                    .setChunkSizeHint(BUFFER)
-                    .setMaxLineLength(MOST_LINE)
-                    .setMaxHeaderCount(MOST_FIELDS)
+                    .setBufferSize(BUFFER_BYTES)
+                    .setChunkSizeHint(BUFFER_BYTES)
+                    .setMaxLineLength(MAX_HEAD_LINE_BYTES)
+                    .setMaxHeaderCount(MAX_HEADERS)
                     .build();
-    private final HttpProcessor answers =
+    private final HttpProcessor responseProcessor =
             new DefaultHttpProcessor(ResponseContent.INSTANCE, ResponseConnControl.INSTANCE);
-    private final HttpProcessor requests = new DefaultHttpProcessor(RequestContent.INSTANCE);
+    private final HttpProcessor requestProcessor =
+            new DefaultHttpProcessor(RequestContent.INSTANCE);
     private final DefaultConnectingIOReactor reactor;
-    private final ThreadFactory threads;
+    private final ThreadFactory threadFactory;
     private final int backlog;
-    private final AtomicInteger open = new AtomicInteger();
+    private final AtomicInteger openDescriptors = new AtomicInteger();
 
     /** Connections of clients that have been accepted and not yet been seen by the reactor. */
-    private final AtomicInteger accepted = new AtomicInteger();
+    private final AtomicInteger pendingAccepted = new AtomicInteger();
 
-    private final Set<Incoming> clients = ConcurrentHashMap.newKeySet();
-    private final Inbox inbox;
+    private final Set<ClientConnection> clientConnections = ConcurrentHashMap.newKeySet();
+    private final EventQueue eventQueue;
 
     /** Reactor only, the longest first. */
-    private final ArrayDeque<LingeringSession> lingering = new ArrayDeque<>();
+    private final ArrayDeque<LingeringSession> lingeringSessions = new ArrayDeque<>();
 
-    private final int crowded;
-    private final int most;
-    private final int last;
-    private final Listen listen;
-    private Accept accept;
+    private final int crowdedLimit;
+    private final int fullLimit;
+    private final int exhaustedLimit;
+    private final ListenerState listenerState;
+    private Acceptor acceptor;
     private volatile boolean stopping;
-    private volatile int beside;
-    private volatile long lookedAt = System.nanoTime();
-
-    Sockets(ProxyConfig config, Inbox inbox, Listen listen, ThreadFactory threads) {
-        this.inbox = inbox;
-        this.listen = listen;
-        this.threads = threads;
+    private volatile int siblingDescriptors;
+    private volatile long lastCheckNanos = System.nanoTime();
+
+    ConnectionReactor(
+            ProxyConfig config, EventQueue inbox, ListenerState listen, ThreadFactory threads) {
+        this.eventQueue = inbox;
+        this.listenerState = listen;
+        this.threadFactory = threads;
         backlog = config.network().maxSockets();
         int left =
                 config.network().maxSockets()
-                        - OWN
+                        - PROCESS_DESCRIPTORS
                         - (config.network().admin().isPresent() ? AdminServer.MAX_SOCKETS : 0);
-        crowded = (int) (CROWDED * left);
-        most = (int) (FULL * left);
-        last = (int) (LAST * left);
+        crowdedLimit = (int) (CROWDED_SHARE * left);
+        fullLimit = (int) (FULL_SHARE * left);
+        exhaustedLimit = (int) (EXHAUSTED_SHARE * left);
         IOReactorConfig io =
                 IOReactorConfig.custom()
                         .setIoThreadCount(1)
                         .setTcpNoDelay(true)
                         .setSoTimeout(Timeout.DISABLED)
-                        .setSelectInterval(TimeValue.ofMilliseconds(CHECK_MILLIS))
+                        .setSelectInterval(TimeValue.ofMilliseconds(SELECT_INTERVAL_MILLIS))
                         .build();
         reactor =
                 new DefaultConnectingIOReactor(
-                        this::handler, io, threads, null, this::failed, null, null);
+                        this::createHandler,
+                        io,
+                        threads,
+                        null,
+                        this::handleReactorError,
+                        null,
+                        null);
     }
 
     /**
      * Guards against a crowd at a busy reactor: what is accepted and not yet counted holds
      * descriptors. Who waits in the system's queue meanwhile holds none.
      */
-    private boolean mayAccept() {
-        return stopping || accepted.get() < MOST_ACCEPTED;
+    private boolean canAccept() {
+        return stopping || pendingAccepted.get() < MAX_PENDING_ACCEPTED;
     }
 
-    private void accepted(SocketChannel channel) {
-        accepted.incrementAndGet();
+    private void handleAccepted(SocketChannel channel) {
+        pendingAccepted.incrementAndGet();
         try {
             Handover.give(reactor, channel);
         } catch (IOReactorShutdownException e) {
@@ -182,7 +190,7 @@
         }
     }
 
-    private void failed(Exception cause) {
+    private void handleReactorError(Exception cause) {
         // A stop from outside breaks into the reactor's loop, which then complains of what it was
         // asked for.
         if (!stopping) {
@@ -196,137 +204,145 @@
 
     /** Takes clients from now on. */
     void listen(InetSocketAddress address) throws IOException {
-        accept = accept(address);
-        threads.newThread(accept).start();
+        acceptor = createAcceptor(address);
+        threadFactory.newThread(acceptor).start();
     }
 
     /**
      * A place to listen at; what is accepted there is served like any other. Its thread is the
      * caller's.
      */
-    Accept accept(InetSocketAddress address) throws IOException {
-        return new Accept(address, backlog, this::mayAccept, this::accepted);
+    Acceptor createAcceptor(InetSocketAddress address) throws IOException {
+        return new Acceptor(address, backlog, this::canAccept, this::handleAccepted);
     }
 
     InetSocketAddress address() throws IOException {
-        return accept.address();
+        return acceptor.address();
     }
 
     /**
      * Opens a connection for an exchange, whatever the budget: who can do without asks isFull
      * first.
      */
-    Connection dial(InetSocketAddress address, long timeOut, Call first) {
-        return dial(address, timeOut, 0, first);
+    UpstreamConnection connect(InetSocketAddress address, long timeOut, UpstreamExchange first) {
+        return connect(address, timeOut, 0, first);
     }
 
     /** The same for a connection that fails after some time of silence; 0 is for ever. */
-    Connection dial(InetSocketAddress address, long timeOut, long silence, Call first) {
-        open.incrementAndGet();
-        Connection connection = new Connection(address, this, timeOut(silence), first);
+    UpstreamConnection connect(
+            InetSocketAddress address, long timeOut, long silence, UpstreamExchange first) {
+        openDescriptors.incrementAndGet();
+        UpstreamConnection connection =
+                new UpstreamConnection(address, this, toTimeout(silence), first);
         // By its digits: the library would else look up the address's name, and there is no DNS to
         // ask.
         HttpHost host = new HttpHost(address.getHostString(), address.getPort());
-        connection.dialed(
-                reactor.connect(host, address, null, timeOut(timeOut), connection, connection));
+        connection.setPendingConnect(
+                reactor.connect(host, address, null, toTimeout(timeOut), connection, connection));
         return connection;
     }
 
-    private static Timeout timeOut(long tenths) {
+    private static Timeout toTimeout(long tenths) {
         return tenths == 0
                 ? Timeout.DISABLED
-                : Timeout.ofMilliseconds(Math.max(1, tenths / Clock.MILLI));
+                : Timeout.ofMilliseconds(Math.max(1, tenths / TickClock.TICKS_PER_MILLI));
     }
 
     /** Connections of clients that are open, or accepted and not yet seen. */
-    int clients() {
-        return clients.size() + accepted.get();
+    int clientConnectionCount() {
+        return clientConnections.size() + pendingAccepted.get();
     }
 
     /** What this process holds of the budget. */
-    int held() {
-        return open.get();
+    int openDescriptors() {
+        return openDescriptors.get();
     }
 
     /** What other processes hold of it, as they told last. */
-    void beside(int others) {
-        beside = others;
+    void setSiblingDescriptors(int others) {
+        siblingDescriptors = others;
     }
 
     /** Two processes share one budget; while both fit into it each keeps to its own steps. */
-    boolean isSpent() {
-        return held() + beside >= last;
+    boolean isExhausted() {
+        return openDescriptors() + siblingDescriptors >= exhaustedLimit;
     }
 
-    boolean isFull() {
-        return held() >= most || isSpent();
+    boolean isUpstreamFull() {
+        return openDescriptors() >= fullLimit || isExhausted();
     }
 
     /** One that never came up is in nobody's pool: there is nothing to tell. */
-    void closed(Connection connection, boolean wasUp) {
-        open.decrementAndGet();
+    void connectionClosed(UpstreamConnection connection, boolean wasUp) {
+        openDescriptors.decrementAndGet();
         if (wasUp) {
-            inbox.post(new Notice.ConnectionClosed(connection));
+            eventQueue.post(new ProxyEvent.UpstreamConnectionClosed(connection));
         }
     }
 
     /** The client's connection that has stood idle longest makes room for another. */
     private void closeIdleClient() {
-        Incoming oldest = null;
-        for (Incoming client : clients) {
-            if (client.mayGo() && (oldest == null || client.idleSince() < oldest.idleSince())) {
+        ClientConnection oldest = null;
+        for (ClientConnection client : clientConnections) {
+            if (client.isClosable()
+                    && (oldest == null || client.idleSinceMillis() < oldest.idleSinceMillis())) {
                 oldest = client;
             }
         }
         if (oldest != null) {
-            oldest.finish();
+            oldest.closeGracefully();
         }
     }
 
     /** Guards against running out of descriptors, the dearest step last. */
-    private void paced(Incoming client) {
-        int held = held();
-        listen.crowded = held >= crowded;
-        if (held >= most && lingering.isEmpty()) {
+    private void enforceBudget(ClientConnection client) {
+        int held = openDescriptors();
+        listenerState.crowded = held >= crowdedLimit;
+        if (held >= fullLimit && lingeringSessions.isEmpty()) {
             closeIdleClient();
-            inbox.post(new Notice.Crowded());
-        } else if (held >= most) {
-            lingering.forEach(
+            eventQueue.post(new ProxyEvent.DescriptorBudgetExceeded());
+        } else if (held >= fullLimit) {
+            lingeringSessions.forEach(
                     LingeringSession::release); // Each leaves this list as it is disconnected.
         }
-        if (isSpent() || clients.size() > (LAST - RESERVED) / LAST * last) {
-            client.refuse();
+        if (isExhausted()
+                || clientConnections.size()
+                        > (EXHAUSTED_SHARE - UPSTREAM_RESERVED_SHARE)
+                                / EXHAUSTED_SHARE
+                                * exhaustedLimit) {
+            client.closeNow();
         }
     }
 
     /** Looks at every client's connection; to be called a few times a second. */
     void closeOverdue() {
         long now = System.nanoTime();
-        clients.forEach(
+        clientConnections.forEach(
                 client -> {
                     if (client.isOverdue(now)) {
-                        client.lookAgain();
-                    } else if (listen.state() == Listen.State.STANDBY && client.isSentAway()) {
-                        client.finish();
+                        client.recheckOnReactor();
+                    } else if (listenerState.state() == ListenerState.State.STANDBY
+                            && client.isDueForStandbyClose()) {
+                        client.closeGracefully();
                     }
                 });
-        lookedAt = now;
+        lastCheckNanos = now;
     }
 
     /** No new connections from now on. */
     void stopListening() throws InterruptedException {
         stopping = true;
-        if (accept != null) { // Guards against an end that comes before the beginning is over.
-            accept.stop();
+        if (acceptor != null) { // Guards against an end that comes before the beginning is over.
+            acceptor.stop();
         }
     }
 
     /** For the planned end: those that stand idle go, the others after their answer. */
     void closeIdleClients() {
-        clients.forEach(
+        clientConnections.forEach(
                 client -> {
-                    if (client.mayGo()) {
-                        client.finish();
+                    if (client.isClosable()) {
+                        client.closeGracefully();
                     }
                 });
     }
@@ -335,87 +351,93 @@
      * However short a while they have been idle: what crosses the close is not read as a request.
      */
     void finishClients() {
-        clients.forEach(Incoming::finish);
+        clientConnections.forEach(ClientConnection::closeGracefully);
     }
 
     void stop() throws InterruptedException {
         stopping = true;
-        if (accept != null) {
-            accept.stop();
+        if (acceptor != null) {
+            acceptor.stop();
         }
         // Guards against a reset that takes along what a client has not yet read, where nothing is
         // owed.
-        clients.forEach(Incoming::release);
+        clientConnections.forEach(ClientConnection::releaseLingering);
         reactor.close(CloseMode.IMMEDIATE);
     }
 
-    private IOEventHandler handler(ProtocolIOSession session, Object attachment) {
-        if (attachment instanceof Connection connection) {
-            return new Outgoing(
+    private IOEventHandler createHandler(ProtocolIOSession session, Object attachment) {
+        if (attachment instanceof UpstreamConnection connection) {
+            return new UpstreamIoHandler(
                     new ClientHttp1StreamDuplexerFactory(
-                                    requests,
-                                    http,
+                                    requestProcessor,
+                                    httpConfig,
                                     null,
                                     null,
-                                    () -> new AnswerHead(http, connection::isAsked),
+                                    () ->
+                                            new ResponseHeadParser(
+                                                    httpConfig, connection::isAwaitingResponse),
                                     null,
                                     null)
                             .create(session),
                     connection);
         }
-        Exchanges exchanges = new Exchanges(session);
+        RequestHandlers exchanges = new RequestHandlers(session);
         ServerHttp1StreamDuplexerFactory incoming =
                 new ServerHttp1StreamDuplexerFactory(
-                        answers,
+                        responseProcessor,
                         exchanges,
-                        http,
+                        httpConfig,
                         null,
                         null,
-                        () -> new RequestHead(http, exchanges::isPipelined),
+                        () -> new RequestHeadParser(httpConfig, exchanges::isPipelined),
                         null,
                         null,
                         null);
-        LingeringSession client = new LingeringSession(session, this::lingers);
-        return new Incoming(client, incoming.create("http", client), exchanges);
+        LingeringSession client = new LingeringSession(session, this::trackLingering);
+        return new ClientConnection(client, incoming.create("http", client), exchanges);
     }
 
     /** Guards against descriptors spent on clients that have their answer and do not close. */
-    private void lingers(LingeringSession client) {
-        lingering.add(client);
-        if (lingering.size() > LINGERING / LAST * last) {
-            lingering.remove().release();
+    private void trackLingering(LingeringSession client) {
+        lingeringSessions.add(client);
+        if (lingeringSessions.size() > LINGERING_SHARE / EXHAUSTED_SHARE * exhaustedLimit) {
+            lingeringSessions.remove().release();
         }
     }
 
-    private interface Reading {
-        void more() throws IOException;
+    private interface BufferReader {
+        void readMore() throws IOException;
     }
 
     /** Guards against a turn of the reactor for every buffer of what passes through. */
-    private static void readOn(Reading reading, LongSupplier hungry) throws IOException {
+    private static void readWhileProgressing(BufferReader reading, LongSupplier hungry)
+            throws IOException {
         long came = hungry.getAsLong();
-        for (int i = 0; i < MOST_MORE && came >= 0; i++) {
-            reading.more();
+        for (int i = 0; i < MAX_EXTRA_READS && came >= 0; i++) {
+            reading.readMore();
             long now = hungry.getAsLong();
             came = now > came ? now : -1;
         }
     }
 
-    private static final class Outgoing extends ClientHttp1IOEventHandler {
-        private final Connection connection;
+    private static final class UpstreamIoHandler extends ClientHttp1IOEventHandler {
+        private final UpstreamConnection connection;
 
-        Outgoing(ClientHttp1StreamDuplexer duplexer, Connection connection) {
+        UpstreamIoHandler(ClientHttp1StreamDuplexer duplexer, UpstreamConnection connection) {
             super(duplexer);
             this.connection = connection;
         }
 
         @Override
         public void inputReady(IOSession session, ByteBuffer src) throws IOException {
-            if (connection.isAsked()) {
+            if (connection.isAwaitingResponse()) {
                 super.inputReady(session, src);
-                readOn(
+                readWhileProgressing(
                         () -> super.inputReady(session, null),
-                        () -> connection.isAsked() ? connection.latest().hungry() : -1);
+                        () ->
+                                connection.isAwaitingResponse()
+                                        ? connection.latestExchange().streamedBytesIfReadable()
+                                        : -1);
             } else {
                 // Guards against bytes on an idle connection; its end comes this way, too.
                 session.close(CloseMode.IMMEDIATE);
@@ -425,27 +447,27 @@
         @Override
         public void disconnected(IOSession session) {
             super.disconnected(session);
-            connection.ended();
+            connection.handleClosed();
         }
     }
 
     /** Makes a connection's exchanges and knows the latest. */
-    private final class Exchanges implements HandlerFactory<AsyncServerExchangeHandler> {
+    private final class RequestHandlers implements HandlerFactory<AsyncServerExchangeHandler> {
         private final IOSession session;
-        private volatile Exchange latest;
-        private volatile int made;
+        private volatile ClientExchange latestExchange;
+        private volatile int createdCount;
 
         /** Reactor only: nothing more is read as a request. */
         private boolean pipelined;
 
-        Exchanges(IOSession session) {
+        RequestHandlers(IOSession session) {
             this.session = session;
         }
 
         /** Guards against bodies kept for as long as a connection stands idle. */
-        private void released(Exchange done) {
-            if (latest == done && !done.isLast()) {
-                latest = null;
+        private void handleReleased(ClientExchange done) {
+            if (latestExchange == done && !done.isLastOnConnection()) {
+                latestExchange = null;
             }
         }
 
@@ -454,30 +476,32 @@
          * then.
          */
         boolean isReading(int before) {
-            Exchange last = latest;
-            return last == null || last.isOver() ? made == before : !last.isTaken();
+            ClientExchange last = latestExchange;
+            return last == null || last.isFinished()
+                    ? createdCount == before
+                    : !last.isRequestComplete();
         }
 
         /**
          * Asked about bytes that have come: they come before the answer to what came before them.
          */
         boolean isPipelined() {
-            Exchange last = latest;
-            boolean busy = last != null && (!last.isAnswered() || last.isLast());
+            ClientExchange last = latestExchange;
+            boolean busy = last != null && (!last.isAnswered() || last.isLastOnConnection());
             pipelined |= busy;
             return busy;
         }
 
         @Override
         public AsyncServerExchangeHandler create(HttpRequest request, HttpContext context) {
-            made++;
-            latest =
-                    new Exchange(
-                            listen,
-                            inbox,
-                            this::released,
+            createdCount++;
+            latestExchange =
+                    new ClientExchange(
+                            listenerState,
+                            eventQueue,
+                            this::handleReleased,
                             () -> session.close(CloseMode.IMMEDIATE));
-            return latest;
+            return latestExchange;
         }
     }
 
@@ -485,19 +509,21 @@
      * A client's connection. The library goes on after a client's close; this ends the exchange
      * instead.
      */
-    private final class Incoming extends ServerHttp1IOEventHandler {
+    private final class ClientConnection extends ServerHttp1IOEventHandler {
         private final LingeringSession session;
-        private final Exchanges exchanges;
-        private volatile long begunAt;
+        private final RequestHandlers requestHandlers;
+        private volatile long readingSinceNanos;
 
         /** How many requests had begun when it was found overdue; under 0 where it was not. */
-        private volatile int madeThen = -1;
+        private volatile int createdCountAtCheck = -1;
 
-        Incoming(
-                LingeringSession session, ServerHttp1StreamDuplexer duplexer, Exchanges exchanges) {
+        ClientConnection(
+                LingeringSession session,
+                ServerHttp1StreamDuplexer duplexer,
+                RequestHandlers exchanges) {
             super(duplexer);
             this.session = session;
-            this.exchanges = exchanges;
+            this.requestHandlers = exchanges;
         }
 
         /**
@@ -506,33 +532,39 @@
          */
         boolean isOverdue(long now) {
             if (session.isClosing()) {
-                return session.lingers(now) >= LINGER_MILLIS;
+                return session.lingeringMillis(now) >= LINGER_MILLIS;
             }
-            Exchange latest = exchanges.latest;
-            if (latest != null && latest.isStill(now)) {
-                LOG.info("what passes through stands still: " + latest.trace + " is cut");
+            ClientExchange latest = requestHandlers.latestExchange;
+            if (latest != null && latest.isStalled(now)) {
+                LOG.info("what passes through stands still: " + latest.traceId + " is cut");
                 return true;
-            } else if (begunAt != 0 && latest != null && latest.isHeldBack()) {
-                begunAt += now - lookedAt; // Its time does not run while the proxy takes nothing.
-            } else if (begunAt != 0) {
-                long came = latest == null ? 0 : latest.came();
-                return now - begunAt >= (READ_MILLIS + came / Listen.LEAST_RATE) * 1_000_000;
+            } else if (readingSinceNanos != 0 && latest != null && latest.isBackpressured()) {
+                readingSinceNanos +=
+                        now - lastCheckNanos; // Its time does not run while the proxy takes
+                // nothing.
+            } else if (readingSinceNanos != 0) {
+                long came = latest == null ? 0 : latest.receivedBytes();
+                return now - readingSinceNanos
+                        >= (REQUEST_READ_MILLIS + came / ListenerState.MIN_BODY_BYTES_PER_MILLI)
+                                * 1_000_000;
             }
             return isIdle()
-                    && System.currentTimeMillis() - idleSince()
-                            >= (exchanges.made == 0 ? READ_MILLIS : KEEP_MILLIS);
+                    && System.currentTimeMillis() - idleSinceMillis()
+                            >= (requestHandlers.createdCount == 0
+                                    ? REQUEST_READ_MILLIS
+                                    : KEEP_ALIVE_MILLIS);
         }
 
         boolean isIdle() {
-            Exchange latest = exchanges.latest;
-            return latest == null || latest.isOver();
+            ClientExchange latest = requestHandlers.latestExchange;
+            return latest == null || latest.isFinished();
         }
 
         /**
          * Guards against closing on a request that has come and is not read, as on a fresh
          * connection.
          */
-        boolean mayGo() {
+        boolean isClosable() {
             return isQuiet(QUIET_MILLIS);
         }
 
@@ -540,20 +572,20 @@
          * Guards against a client sent away with its first request on the way to a connection just
          * made.
          */
-        boolean isSentAway() {
-            return isQuiet(exchanges.made == 0 ? FRESH_MILLIS : QUIET_MILLIS);
+        boolean isDueForStandbyClose() {
+            return isQuiet(requestHandlers.createdCount == 0 ? FRESH_MILLIS : QUIET_MILLIS);
         }
 
         private boolean isQuiet(long millis) {
-            return isIdle() && System.currentTimeMillis() - idleSince() >= millis;
+            return isIdle() && System.currentTimeMillis() - idleSinceMillis() >= millis;
         }
 
-        void refuse() {
+        void closeNow() {
             session.close(CloseMode.IMMEDIATE);
         }
 
         /** Closes what only waits for its client's own end. */
-        void release() {
+        void releaseLingering() {
             if (session.isClosing()) {
                 session.release();
             }
@@ -563,45 +595,47 @@
          * Guards against an end that meets a request which the reactor is just taking: that looks
          * itself.
          */
-        void lookAgain() {
-            madeThen = exchanges.made;
+        void recheckOnReactor() {
+            createdCountAtCheck = requestHandlers.createdCount;
             try {
                 session.setEvent(SelectionKey.OP_WRITE);
             } catch (CancelledKeyException e) {
                 // Guards against an end of all looks, as one connection ends just then.
-                madeThen = -1;
+                createdCountAtCheck = -1;
             }
         }
 
-        long idleSince() {
+        long idleSinceMillis() {
             return session.getLastEventTime();
         }
 
-        void finish() {
+        void closeGracefully() {
             session.enqueue(ShutdownCommand.GRACEFUL, Command.Priority.NORMAL);
         }
 
         @Override
         public void connected(IOSession up) throws IOException {
-            open.incrementAndGet();
-            clients.add(this);
-            accepted.decrementAndGet(); // Behind it: guards against an end that sees no client in
+            openDescriptors.incrementAndGet();
+            clientConnections.add(this);
+            pendingAccepted
+                    .decrementAndGet(); // Behind it: guards against an end that sees no client in
             // between.
             super.connected(up);
-            paced(this);
+            enforceBudget(this);
         }
 
         @Override
         public void outputReady(IOSession up) throws IOException {
-            int then = madeThen;
-            madeThen = -1;
-            if (then >= 0 && isIdle() && begunAt == 0 && !session.isClosing()) {
-                if (then == exchanges.made) {
-                    finish(); // The look itself is an event: only what has come since can speak
+            int then = createdCountAtCheck;
+            createdCountAtCheck = -1;
+            if (then >= 0 && isIdle() && readingSinceNanos == 0 && !session.isClosing()) {
+                if (then == requestHandlers.createdCount) {
+                    closeGracefully(); // The look itself is an event: only what has come since can
+                    // speak
                     // against it.
                 }
             } else if (then >= 0 && isOverdue(System.nanoTime())) {
-                refuse();
+                closeNow();
                 return;
             }
             if (session.isClosing()) {
@@ -612,15 +646,18 @@
         }
 
         /** Its last request has been read, and the library stops reading while answers are owed. */
-        private boolean readsNoMore() {
-            Exchange latest = exchanges.latest;
-            return exchanges.pipelined
-                    || latest != null && latest.isTaken() && !latest.isOver() && !isOpen();
+        private boolean hasStoppedReading() {
+            ClientExchange latest = requestHandlers.latestExchange;
+            return requestHandlers.pipelined
+                    || latest != null
+                            && latest.isRequestComplete()
+                            && !latest.isFinished()
+                            && !isOpen();
         }
 
         /** Guards against a client's end that is not seen because bytes lie before it. */
-        private void throwAway(IOSession up) throws IOException {
-            if (session.throwAway() > MOST_THROWN_AWAY || session.hasEnded()) {
+        private void discardInput(IOSession up) throws IOException {
+            if (session.discardInput() > MAX_DISCARDED_BYTES || session.hasPeerClosed()) {
                 up.close(CloseMode.IMMEDIATE);
             }
         }
@@ -628,23 +665,27 @@
         @Override
         public void inputReady(IOSession up, ByteBuffer src) throws IOException {
             if (session.isClosing()) {
-                session.linger(MOST_THROWN_AWAY);
+                session.linger(MAX_DISCARDED_BYTES);
                 return;
-            } else if (readsNoMore()) {
-                throwAway(up);
+            } else if (hasStoppedReading()) {
+                discardInput(up);
                 return;
             }
-            int before = exchanges.made;
+            int before = requestHandlers.createdCount;
             super.inputReady(up, src);
-            Exchange reading = exchanges.latest;
+            ClientExchange reading = requestHandlers.latestExchange;
             if (reading != null) {
-                readOn(() -> super.inputReady(up, null), reading::hungry);
+                readWhileProgressing(
+                        () -> super.inputReady(up, null), reading::streamedBytesIfReadable);
             }
-            begunAt = !exchanges.isReading(before) ? 0 : begunAt == 0 ? System.nanoTime() : begunAt;
+            readingSinceNanos =
+                    !requestHandlers.isReading(before)
+                            ? 0
+                            : readingSinceNanos == 0 ? System.nanoTime() : readingSinceNanos;
             // Guards against ops worked on for a client that has closed its connection.
-            if (session.hasEnded() && !isIdle()) {
+            if (session.hasPeerClosed() && !isIdle()) {
                 up.close(CloseMode.IMMEDIATE);
-            } else if (readsNoMore()) {
+            } else if (hasStoppedReading()) {
                 up.setEvent(SelectionKey.OP_READ);
             }
         }
@@ -652,9 +693,9 @@
         @Override
         public void disconnected(IOSession up) {
             super.disconnected(up);
-            lingering.remove(session);
-            if (clients.remove(this)) {
-                listen.crowded = open.decrementAndGet() >= crowded;
+            lingeringSessions.remove(session);
+            if (clientConnections.remove(this)) {
+                listenerState.crowded = openDescriptors.decrementAndGet() >= crowdedLimit;
             }
         }
     }
--- a/src/main/java/cairnbridge/proxy/RosterWatch.java
+++ b/src/main/java/cairnbridge/proxy/DiscoveryWatch.java
@@ -34,95 +34,95 @@
 import java.util.random.RandomGeneratorFactory;
 
 /** Follows discovery's list: a watch that is opened again whenever it ends or falls silent. */
-final class RosterWatch {
-    private static final Logger LOG = Logger.getLogger(RosterWatch.class.getName());
-    private static final String LIST = "/api/targets";
+final class DiscoveryWatch {
+    private static final Logger LOG = Logger.getLogger(DiscoveryWatch.class.getName());
+    private static final String LIST_PATH = "/api/targets";
     private static final int OK = 200;
-    private static final int UNKNOWN = 1 << 20;
+    private static final int UNKNOWN_INDEX = 1 << 20;
 
     private final ProxyConfig config;
-    private final Sockets sockets;
-    private final Inbox inbox;
+    private final ConnectionReactor reactor;
+    private final EventQueue eventQueue;
 
     /** One thread, idle nearly always: it dials again after a wait and notices silence. */
-    private final ScheduledExecutorService timer;
+    private final ScheduledExecutorService scheduler;
 
-    private volatile InetSocketAddress discovery;
-    private volatile Watching watching;
+    private volatile InetSocketAddress discoveryAddress;
+    private volatile DiscoveryCall activeCall;
 
     /**
      * Whether to call now, by how many milliseconds ago this proxy last did; a fleet shares the
      * calls out.
      */
-    private volatile LongPredicate mayCall = sinceCalled -> true;
+    private volatile LongPredicate pollPermission = sinceCalled -> true;
 
-    private long calledAt = System.nanoTime();
-    private long endedAt = calledAt;
+    private long lastCallNanos = System.nanoTime();
+    private long lastCallEndNanos = lastCallNanos;
 
     /**
      * Guards against a fleet killed together that asks together, again and again: waits are
      * scattered.
      */
-    private final RandomGenerator chance;
+    private final RandomGenerator random;
 
     private volatile long version;
 
     /** Lists of discovery's below this version are not used; 0 where none was known before. */
-    private volatile long believed;
+    private volatile long versionFloor;
 
     /** Null where lists are not kept over a loss of power. */
-    private EndpointListHistory book;
+    private EndpointListHistory history;
 
-    private long waitMillis = TimeBudget.MIN_BACKOFF_MILLIS;
+    private long backoffMillis = TimeBudget.MIN_BACKOFF_MILLIS;
     private boolean started;
-    private boolean wanted;
-    private boolean listed;
-    private boolean discovered;
-    private boolean lost;
+    private boolean watchWanted;
+    private boolean listCurrent;
+    private boolean discoveryHeard;
+    private boolean watchLost;
 
     /** Open until the first call has brought something, or has failed. */
-    private final CountDownLatch first = new CountDownLatch(1);
+    private final CountDownLatch firstResult = new CountDownLatch(1);
 
-    private final OddityLog odd = new OddityLog(LOG, "roster");
+    private final DeduplicatedLog deduplicatedLog = new DeduplicatedLog(LOG, "roster");
 
     /** The list's nodes, and whether each is a cache. */
-    private final Map<NodeId, Boolean> nodes = new ConcurrentHashMap<>();
+    private final Map<NodeId, Boolean> cacheFlagByNode = new ConcurrentHashMap<>();
 
     /** The list's caches as plans over zones need them. */
-    private final Map<NodeId, ListedNode> servers = new ConcurrentHashMap<>();
+    private final Map<NodeId, ListedNode> listedCaches = new ConcurrentHashMap<>();
 
-    private final ProxyMetrics figures;
+    private final ProxyMetrics metrics;
 
-    RosterWatch(
+    DiscoveryWatch(
             ProxyConfig config,
-            Sockets sockets,
-            Inbox inbox,
+            ConnectionReactor sockets,
+            EventQueue inbox,
             ScheduledExecutorService timer,
             ProxyMetrics figures) {
-        this.figures = figures;
+        this.metrics = figures;
         this.config = config;
-        this.discovery = config.network().discovery();
-        this.chance = RandomGeneratorFactory.of("L64X128MixRandom").create(config.seed());
-        this.sockets = sockets;
-        this.inbox = inbox;
-        this.timer = timer;
+        this.discoveryAddress = config.network().discovery();
+        this.random = RandomGeneratorFactory.of("L64X128MixRandom").create(config.seed());
+        this.reactor = sockets;
+        this.eventQueue = inbox;
+        this.scheduler = timer;
     }
 
     /** The list as this proxy last had it, then the watch, unless the module has to ask for it. */
     void start() {
         if (config.initialEndpoints().has("targets")) {
-            tell(config.initialEndpoints(), ListScope.CACHED);
+            publishList(config.initialEndpoints(), ListScope.CACHED);
         }
-        timer.execute(
+        scheduler.execute(
                 () -> {
                     started = true;
-                    wanted |= !config.settings().mustSubscribe();
-                    if (wanted && watching == null) {
-                        open();
+                    watchWanted |= !config.settings().mustSubscribe();
+                    if (watchWanted && activeCall == null) {
+                        openWatch();
                     }
                 });
-        timer.scheduleWithFixedDelay(
-                this::look,
+        scheduler.scheduleWithFixedDelay(
+                this::checkLiveness,
                 TimeBudget.CHECK_INTERVAL_MILLIS,
                 TimeBudget.CHECK_INTERVAL_MILLIS,
                 TimeUnit.MILLISECONDS);
@@ -133,35 +133,38 @@
      * against ops sent by the list of the configuration: what discovery has counts as told from a
      * process's first moment.
      */
-    void awaitFirst() throws InterruptedException {
-        first.await(
+    void awaitFirstList() throws InterruptedException {
+        firstResult.await(
                 TimeBudget.CALL_TIMEOUT_MILLIS + TimeBudget.CHECK_INTERVAL_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
 
     void subscribe(boolean on) {
-        timer.execute(
+        scheduler.execute(
                 () -> {
-                    wanted = on;
+                    watchWanted = on;
                     // Guards against a module that asks as soon as it is made, when nothing can be
                     // dialled yet.
-                    if (on && watching == null && started) {
-                        open();
-                    } else if (!on && watching != null) {
-                        watching.connection.close();
+                    if (on && activeCall == null && started) {
+                        openWatch();
+                    } else if (!on && activeCall != null) {
+                        activeCall.connection.close();
                     }
                 });
     }
 
     /** The whole list, once. */
     void fetch() {
-        InetSocketAddress asked = discovery;
-        sockets.dial(asked, config.network().connectTimeout(), new Watching(asked, LIST, false));
+        InetSocketAddress asked = discoveryAddress;
+        reactor.connect(
+                asked,
+                config.network().connectTimeout(),
+                new DiscoveryCall(asked, LIST_PATH, false));
     }
 
     /** Who calls is decided with others from now on. */
-    void callsIf(LongPredicate may) {
-        mayCall = may;
+    void setPollPermission(LongPredicate may) {
+        pollPermission = may;
     }
 
     /** The version of the list that is held; any thread may ask. */
@@ -170,37 +173,37 @@
     }
 
     /** Whether the list comes in right now: one that has missed a beat may be about to be lost. */
-    boolean isListing() {
-        Watching now = watching;
+    boolean isWatchHealthy() {
+        DiscoveryCall now = activeCall;
         return now != null
-                && now.code == OK
-                && millisSince(now.heard) < TimeBudget.HEARTBEAT_MILLIS * 3 / 2;
+                && now.statusCode == OK
+                && millisSince(now.lastHeardNanos) < TimeBudget.HEARTBEAT_MILLIS * 3 / 2;
     }
 
     /** Lists are put down in the book from now on; before the start. */
-    void keepsIn(EndpointListHistory lists) {
-        book = lists;
+    void setHistory(EndpointListHistory lists) {
+        history = lists;
     }
 
     /** Discovery's lists count from this version on. */
-    void believesFrom(long floor) {
-        believed = floor;
+    void setVersionFloor(long floor) {
+        versionFloor = floor;
     }
 
     /**
      * A list that did not come from discovery is in use until that tells one; its text as
      * discovery's.
      */
-    void guess(String text) {
-        timer.execute(
+    void usePersistedList(String text) {
+        scheduler.execute(
                 () -> {
-                    if (discovered) {
+                    if (discoveryHeard) {
                         return; // Discovery was faster.
                     }
                     try {
-                        tell(JsonObject.parse(text, "kept list"), ListScope.CACHED);
-                        listed = false; // The first call asks for the whole list.
-                        book.lineReceived(text);
+                        publishList(JsonObject.parse(text, "kept list"), ListScope.CACHED);
+                        listCurrent = false; // The first call asks for the whole list.
+                        history.lineReceived(text);
                     } catch (ConfigurationException e) {
                         LOG.warning("roster: a list from before cannot be used: " + e.getMessage());
                     }
@@ -208,39 +211,39 @@
     }
 
     /** Asks discovery for its whole list once more. */
-    void askAnew() {
-        timer.execute(
+    void refetch() {
+        scheduler.execute(
                 () -> {
-                    listed = false;
-                    if (watching != null) {
-                        watching.connection.close();
+                    listCurrent = false;
+                    if (activeCall != null) {
+                        activeCall.connection.close();
                     }
                 });
     }
 
-    private void open() {
-        calledAt = System.nanoTime();
-        String after = listed ? "&after=" + version : "";
-        watching = new Watching(discovery, LIST + "?watch=1" + after, true);
-        sockets.dial(discovery, config.network().connectTimeout(), watching);
+    private void openWatch() {
+        lastCallNanos = System.nanoTime();
+        String after = listCurrent ? "&after=" + version : "";
+        activeCall = new DiscoveryCall(discoveryAddress, LIST_PATH + "?watch=1" + after, true);
+        reactor.connect(discoveryAddress, config.network().connectTimeout(), activeCall);
     }
 
     /**
      * Discovery is elsewhere from now on: its whole list counts, and the watch at the old place
      * goes.
      */
-    void move(InetSocketAddress there) {
-        timer.execute(
+    void setDiscoveryAddress(InetSocketAddress there) {
+        scheduler.execute(
                 () -> {
-                    if (there.equals(discovery)) {
+                    if (there.equals(discoveryAddress)) {
                         return;
                     }
-                    discovery = there;
-                    listed = false;
-                    waitMillis = TimeBudget.MIN_BACKOFF_MILLIS;
-                    Watching old = watching;
-                    if (wanted) {
-                        open();
+                    discoveryAddress = there;
+                    listCurrent = false;
+                    backoffMillis = TimeBudget.MIN_BACKOFF_MILLIS;
+                    DiscoveryCall old = activeCall;
+                    if (watchWanted) {
+                        openWatch();
                     }
                     if (old != null) {
                         old.connection.close();
@@ -257,66 +260,71 @@
      * empty line, and against a call that hangs while discovery is down and goes on hanging once it
      * is back.
      */
-    private void look() {
-        Watching call = watching;
+    private void checkLiveness() {
+        DiscoveryCall call = activeCall;
         if (call == null) {
             return;
         }
         long most =
-                call.code == 0 ? TimeBudget.CALL_TIMEOUT_MILLIS : TimeBudget.WATCH_SILENCE_MILLIS;
-        if (millisSince(call.heard) >= most) {
+                call.statusCode == 0
+                        ? TimeBudget.CALL_TIMEOUT_MILLIS
+                        : TimeBudget.WATCH_SILENCE_MILLIS;
+        if (millisSince(call.lastHeardNanos) >= most) {
             LOG.warning(
                     "roster: the "
-                            + (call.code == 0 ? "call" : "watch")
+                            + (call.statusCode == 0 ? "call" : "watch")
                             + " is silent, dialling again");
             call.connection.close();
-            ended(call); // Whatever becomes of the connection: the next call does not wait for
+            handleCallEnded(
+                    call); // Whatever becomes of the connection: the next call does not wait for
             // its end.
         }
     }
 
-    private void ended(Watching call) {
-        if (watching != call) {
+    private void handleCallEnded(DiscoveryCall call) {
+        if (activeCall != call) {
             return;
         }
-        watching = null;
-        first.countDown();
-        endedAt = System.nanoTime();
+        activeCall = null;
+        firstResult.countDown();
+        lastCallEndNanos = System.nanoTime();
         // Guards against a wait grown long before: one that has held for a while is called again at
         // once.
-        if (call.code == OK && millisSince(call.began) >= TimeBudget.HEARTBEAT_MILLIS) {
-            waitMillis = TimeBudget.MIN_BACKOFF_MILLIS;
+        if (call.statusCode == OK
+                && millisSince(call.startedAtNanos) >= TimeBudget.HEARTBEAT_MILLIS) {
+            backoffMillis = TimeBudget.MIN_BACKOFF_MILLIS;
         }
         if (config.settings().mustSubscribe()) {
-            wanted = false;
-            inbox.post(
-                    new Notice.Listed(
+            watchWanted = false;
+            eventQueue.post(
+                    new ProxyEvent.EndpointListChanged(
                             new Event.EndpointListReceived(ListScope.FAILED, version, List.of()),
                             Map.of()));
-        } else if (wanted) {
-            if (!lost) {
-                lost = true;
+        } else if (watchWanted) {
+            if (!watchLost) {
+                watchLost = true;
                 LOG.warning("roster: the watch is lost, version " + version + " stays");
             }
-            callAgain();
+            scheduleRetry();
         }
     }
 
     /**
      * Backoff with jitter, bounded from the end of the last call on, whoever else may be to call.
      */
-    private void callAgain() {
-        long left = TimeBudget.MAX_BACKOFF_MILLIS - millisSince(endedAt);
-        long wait = waitMillis / 2 + chance.nextLong(waitMillis / 2 + 1);
-        waitMillis = Math.min(TimeBudget.MAX_BACKOFF_MILLIS, waitMillis * 2);
-        timer.schedule(
+    private void scheduleRetry() {
+        long left = TimeBudget.MAX_BACKOFF_MILLIS - millisSince(lastCallEndNanos);
+        long wait = backoffMillis / 2 + random.nextLong(backoffMillis / 2 + 1);
+        backoffMillis = Math.min(TimeBudget.MAX_BACKOFF_MILLIS, backoffMillis * 2);
+        scheduler.schedule(
                 () -> {
-                    if (wanted && watching == null) {
-                        boolean due = millisSince(endedAt) >= TimeBudget.MAX_BACKOFF_MILLIS;
-                        if (due || mayCall.test(millisSince(calledAt))) {
-                            open();
+                    if (watchWanted && activeCall == null) {
+                        boolean due =
+                                millisSince(lastCallEndNanos) >= TimeBudget.MAX_BACKOFF_MILLIS;
+                        if (due || pollPermission.test(millisSince(lastCallNanos))) {
+                            openWatch();
                         } else {
-                            callAgain();
+                            scheduleRetry();
                         }
                     }
                 },
@@ -324,42 +332,43 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    private void heard(Watching call, String text) {
+    private void handleMessage(DiscoveryCall call, String text) {
         // Guards against the last words of a discovery that has moved: its versions say nothing any
         // more.
-        if (!call.address.equals(discovery)) {
+        if (!call.address.equals(discoveryAddress)) {
             return;
         }
         try {
             JsonObject tree = JsonObject.parse(text, "roster");
             long told = (long) tree.number("rev", version);
-            if (told < believed) {
-                inbox.post(new Notice.Older(told));
+            if (told < versionFloor) {
+                eventQueue.post(new ProxyEvent.StaleListReceived(told));
                 return;
             }
-            discovered = true;
-            if (book != null) {
-                book.lineReceived(text);
+            discoveryHeard = true;
+            if (history != null) {
+                history.lineReceived(text);
             }
-            tell(tree, tree.flag("all") ? ListScope.FULL : ListScope.CHANGES);
-            waitMillis = TimeBudget.MIN_BACKOFF_MILLIS;
-            if (lost) {
-                lost = false;
+            publishList(tree, tree.flag("all") ? ListScope.FULL : ListScope.CHANGES);
+            backoffMillis = TimeBudget.MIN_BACKOFF_MILLIS;
+            if (watchLost) {
+                watchLost = false;
                 LOG.info("roster: the watch is back, version " + version);
             }
         } catch (ConfigurationException e) {
-            odd.say("line cannot be used, asking for the whole list, " + e.getMessage());
+            deduplicatedLog.warnOnce(
+                    "line cannot be used, asking for the whole list, " + e.getMessage());
             // Guards against a change that is missed for good: what comes behind it says nothing of
             // it.
-            listed = false;
-            if (watching == call) {
+            listCurrent = false;
+            if (activeCall == call) {
                 call.connection.close();
-                ended(call);
+                handleCallEnded(call);
             }
         }
     }
 
-    private void tell(JsonObject tree, ListScope scope) {
+    private void publishList(JsonObject tree, ListScope scope) {
         List<Endpoint> entries = new ArrayList<>();
         Map<NodeId, InetSocketAddress> addresses = new HashMap<>();
         for (JsonObject each : tree.objects("targets")) {
@@ -373,7 +382,8 @@
                         default -> null;
                     };
             if (uid.isEmpty() || state == null || address == null && state != NodeState.GONE) {
-                odd.say("entry ignored, uid '" + uid + "' state '" + each.text("state", "") + "'");
+                deduplicatedLog.warnOnce(
+                        "entry ignored, uid '" + uid + "' state '" + each.text("state", "") + "'");
                 continue;
             }
             NodeId node = new NodeId(Fnv1a.hash(uid));
@@ -385,82 +395,84 @@
                             node,
                             state,
                             new MachineKind(
-                                    index(config.names().machineKinds(), each.text("model", ""))),
+                                    indexOf(config.names().machineKinds(), each.text("model", ""))),
                             each.number("capacity_hint", 1),
-                            Clock.ofUnixMillis((long) each.number("boot_ms", 0)),
+                            TickClock.fromUnixMillis((long) each.number("boot_ms", 0)),
                             new CellId((int) each.number("pod_group", 0)),
-                            new ZoneId(index(config.names().zones(), each.text("az", ""))));
+                            new ZoneId(indexOf(config.names().zones(), each.text("az", ""))));
             entries.add(entry);
-            serves(entry, new Zone(each.text("az", "")));
+            updateListedCache(entry, new Zone(each.text("az", "")));
         }
-        names(scope, entries);
+        isListed(scope, entries);
         if (scope != ListScope.CHANGES && !entries.isEmpty()) {
-            servers.keySet().retainAll(nodes.keySet());
+            listedCaches.keySet().retainAll(cacheFlagByNode.keySet());
         }
         version = (long) tree.number("rev", version);
-        listed = true;
-        inbox.post(
-                new Notice.Listed(
+        listCurrent = true;
+        eventQueue.post(
+                new ProxyEvent.EndpointListChanged(
                         new Event.EndpointListReceived(scope, version, entries), addresses));
         if (scope != ListScope.CACHED) {
-            first.countDown();
+            firstResult.countDown();
         }
     }
 
     /** A kind that nobody has named is a cache's, as in the module. */
-    private void serves(Endpoint entry, Zone zone) {
+    private void updateListedCache(Endpoint entry, Zone zone) {
         if (entry.state() == NodeState.GONE
                 || entry.kind().equals(config.settings().originKind())) {
-            servers.remove(entry.node());
+            listedCaches.remove(entry.node());
         } else {
-            servers.put(
+            listedCaches.put(
                     entry.node(),
                     new ListedNode(
                             entry.node().value(),
                             zone,
                             entry.state() == NodeState.READY,
                             entry.size(),
-                            entry.startedAt() / Clock.MILLI));
+                            entry.startedAt() / TickClock.TICKS_PER_MILLI));
         }
     }
 
     /** The list's caches. */
-    List<ListedNode> servers() {
-        return List.copyOf(servers.values());
+    List<ListedNode> listedCaches() {
+        return List.copyOf(listedCaches.values());
     }
 
     /** An empty list leaves the one held in use. */
-    private void names(ListScope scope, List<Endpoint> entries) {
+    private void isListed(ListScope scope, List<Endpoint> entries) {
         if (scope != ListScope.CHANGES && !entries.isEmpty()) {
-            nodes.clear();
+            cacheFlagByNode.clear();
         }
         for (Endpoint entry : entries) {
             if (entry.state() == NodeState.GONE) {
-                nodes.remove(entry.node());
+                cacheFlagByNode.remove(entry.node());
             } else {
-                nodes.put(entry.node(), !entry.kind().equals(config.settings().originKind()));
+                cacheFlagByNode.put(
+                        entry.node(), !entry.kind().equals(config.settings().originKind()));
             }
         }
-        figures.setListedNodes((int) nodes.values().stream().filter(isCache -> isCache).count());
+        metrics.setListedNodes(
+                (int) cacheFlagByNode.values().stream().filter(isCache -> isCache).count());
     }
 
     /** Whether any list is known yet. */
-    boolean hasNames() {
-        return !nodes.isEmpty();
+    boolean hasList() {
+        return !cacheFlagByNode.isEmpty();
     }
 
     /** Whether the list names a node, whatever its state. */
-    boolean names(NodeId node) {
-        return nodes.containsKey(node);
+    boolean isListed(NodeId node) {
+        return cacheFlagByNode.containsKey(node);
     }
 
-    private static int index(List<String> names, String name) {
+    private static int indexOf(List<String> names, String name) {
         int at = names.indexOf(name);
-        return at < 0 ? UNKNOWN : at;
+        return at < 0 ? UNKNOWN_INDEX : at;
     }
 
     /** How many braces the line opens and does not close. */
-    private static int braces(String text) {
+    private static int countOpenBraces(String text) {
         int depth = 0;
         boolean quoted = false;
         for (int i = 0; i < text.length(); i++) {
@@ -477,59 +489,61 @@
     }
 
     /** One call to discovery: the standing watch, or a list asked for once. */
-    private final class Watching extends Get {
+    private final class DiscoveryCall extends HttpGet {
         private final InetSocketAddress address;
         private final boolean standing;
-        private final long began = System.nanoTime();
+        private final long startedAtNanos = System.nanoTime();
 
         /** Of an object that goes over several lines, what has come. */
-        private final StringBuilder part = new StringBuilder();
+        private final StringBuilder partialMessage = new StringBuilder();
 
-        private int depth;
-        private volatile long heard = began;
-        private volatile int code;
+        private int openBraces;
+        private volatile long lastHeardNanos = startedAtNanos;
+        private volatile int statusCode;
 
-        Watching(InetSocketAddress address, String target, boolean standing) {
+        DiscoveryCall(InetSocketAddress address, String target, boolean standing) {
             super(address, target);
             this.address = address;
             this.standing = standing;
         }
 
         @Override
-        void begun(int status) {
-            code = status;
-            heard = System.nanoTime();
+        void onStatus(int status) {
+            statusCode = status;
+            lastHeardNanos = System.nanoTime();
             // What there is to tell comes with the head; nothing has changed where nothing does.
-            timer.schedule(
-                    first::countDown, TimeBudget.CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+            scheduler.schedule(
+                    firstResult::countDown,
+                    TimeBudget.CHECK_INTERVAL_MILLIS,
+                    TimeUnit.MILLISECONDS);
         }
 
         @Override
-        void line(String text) {
-            heard = System.nanoTime();
-            if (code != OK || text.isBlank() && part.length() == 0) {
+        void onLine(String text) {
+            lastHeardNanos = System.nanoTime();
+            if (statusCode != OK || text.isBlank() && partialMessage.length() == 0) {
                 return;
             }
             // Guards against a list that comes indented; no heartbeat comes amid one, so that ends
             // it anyhow.
-            part.append(text).append('\n');
-            depth += braces(text);
-            if (text.isBlank() || depth <= 0) {
-                depth = 0;
-                String whole = part.toString();
-                part.setLength(0);
-                timer.execute(() -> heard(this, whole));
+            partialMessage.append(text).append('\n');
+            openBraces += countOpenBraces(text);
+            if (text.isBlank() || openBraces <= 0) {
+                openBraces = 0;
+                String whole = partialMessage.toString();
+                partialMessage.setLength(0);
+                scheduler.execute(() -> handleMessage(this, whole));
             }
         }
 
         @Override
-        void over(AttemptOutcome how) {
+        void onEnd(AttemptOutcome how) {
             connection.close();
             if (standing) {
-                timer.execute(() -> ended(this));
-            } else if (code != OK) {
-                inbox.post(
-                        new Notice.Listed(
+                scheduler.execute(() -> handleCallEnded(this));
+            } else if (statusCode != OK) {
+                eventQueue.post(
+                        new ProxyEvent.EndpointListChanged(
                                 new Event.EndpointListReceived(ListScope.FAILED, 0, List.of()),
                                 Map.of()));
             }
--- a/src/main/java/cairnbridge/proxy/Inbox.java
+++ b/src/main/java/cairnbridge/proxy/EventQueue.java
@@ -9,19 +9,19 @@
 /**
  * The bounded queue before the owner thread. A full one holds the reactor back: nothing is dropped.
  */
-final class Inbox {
-    private final BlockingQueue<Notice> queue;
-    private final Queue<Notice> urgent = new ConcurrentLinkedQueue<>();
+final class EventQueue {
+    private final BlockingQueue<ProxyEvent> events;
+    private final Queue<ProxyEvent> urgentEvents = new ConcurrentLinkedQueue<>();
 
-    Inbox(int most) {
-        queue = new ArrayBlockingQueue<>(most);
+    EventQueue(int most) {
+        events = new ArrayBlockingQueue<>(most);
     }
 
-    void post(Notice notice) {
+    void post(ProxyEvent notice) {
         boolean interrupted = false;
         while (true) {
             try {
-                queue.put(notice);
+                events.put(notice);
                 break;
             } catch (InterruptedException e) {
                 interrupted = true;
@@ -33,19 +33,19 @@
     }
 
     /** Goes before all that waits; for the few notices on which staff wait. */
-    void first(Notice notice) {
-        urgent.add(notice);
+    void postUrgent(ProxyEvent notice) {
+        urgentEvents.add(notice);
         // Who sleeps on the queue is woken; a full queue wakes by itself.
-        queue.offer(new Notice.Woken());
+        events.offer(new ProxyEvent.QueueWakeup());
     }
 
-    Notice poll() {
-        Notice first = urgent.poll();
-        return first != null ? first : queue.poll();
+    ProxyEvent poll() {
+        ProxyEvent first = urgentEvents.poll();
+        return first != null ? first : events.poll();
     }
 
-    Notice poll(long nanos) throws InterruptedException {
-        Notice first = urgent.poll();
-        return first != null ? first : queue.poll(nanos, TimeUnit.NANOSECONDS);
+    ProxyEvent poll(long nanos) throws InterruptedException {
+        ProxyEvent first = urgentEvents.poll();
+        return first != null ? first : events.poll(nanos, TimeUnit.NANOSECONDS);
     }
 }
--- a/src/main/java/cairnbridge/proxy/FleetLink.java
+++ b/src/main/java/cairnbridge/proxy/FleetLink.java
@@ -18,47 +18,47 @@
 /** Between the proxy and its fleet: what this proxy tells, and what it is asked to do. */
 final class FleetLink implements LocalProxy {
     /** From this part of its descriptors on a proxy closes its clients' connections. */
-    private static final int CLIENTS_PART = 3;
+    private static final int CLIENT_SHARE_DIVISOR = 3;
 
-    private final ZoneRouter.Counts placed = new ZoneRouter.Counts();
-    private final Clock clock;
+    private final ZoneRouter.Counts placementCounts = new ZoneRouter.Counts();
+    private final TickClock clock;
     private final ProxyConfig config;
-    private final Listen listen;
-    private final Decide decide;
-    private final FleetLoadCounters tally;
-    private final RosterWatch watch;
-    private final Inbox inbox;
+    private final ListenerState listenerState;
+    private final RequestCoordinator coordinator;
+    private final FleetLoadCounters loadCounters;
+    private final DiscoveryWatch discoveryWatch;
+    private final EventQueue eventQueue;
 
     /** Null where nothing is kept over a loss of power. */
-    private final RecoveryLink recovery;
+    private final RecoveryLink recoveryLink;
 
-    private volatile FleetMember fleet;
+    private volatile FleetMember fleetMember;
 
     /** Whether plans over zones are on. */
-    private volatile boolean zoned;
+    private volatile boolean zonePlansEnabled;
 
     FleetLink(
             ProxyConfig config,
-            Clock clock,
-            Listen listen,
-            Decide decide,
+            TickClock clock,
+            ListenerState listen,
+            RequestCoordinator decide,
             FleetLoadCounters tally,
-            RosterWatch watch,
-            Inbox inbox,
+            DiscoveryWatch watch,
+            EventQueue inbox,
             RecoveryLink recovery) {
         this.clock = clock;
-        this.tally = tally;
-        this.recovery = recovery;
+        this.loadCounters = tally;
+        this.recoveryLink = recovery;
         this.config = config;
-        this.listen = listen;
-        this.decide = decide;
-        this.watch = watch;
-        this.inbox = inbox;
+        this.listenerState = listen;
+        this.coordinator = decide;
+        this.discoveryWatch = watch;
+        this.eventQueue = inbox;
     }
 
     @Override
     public MemberMetadata.Lifecycle lifecycle() {
-        return switch (listen.state()) {
+        return switch (listenerState.state()) {
             case STARTING -> MemberMetadata.Lifecycle.STARTING;
             case SERVING -> MemberMetadata.Lifecycle.SERVING;
             case STANDBY -> MemberMetadata.Lifecycle.STANDBY;
@@ -70,16 +70,17 @@
     public MemberMetrics metrics() {
         return new MemberMetrics(
                 new MemberMetrics.Load(
-                        decide.live(),
-                        config.network().maxSockets() / CLIENTS_PART,
-                        tally.requestsPerSecond(clock.now())),
-                new MemberMetrics.EndpointListStatus(watch.version(), watch.isListing()),
-                tally.reachability());
+                        coordinator.activeRequestCount(),
+                        config.network().maxSockets() / CLIENT_SHARE_DIVISOR,
+                        loadCounters.requestsPerSecond(clock.now())),
+                new MemberMetrics.EndpointListStatus(
+                        discoveryWatch.version(), discoveryWatch.isWatchHealthy()),
+                loadCounters.reachability());
     }
 
     @Override
     public List<ListedNode> servers() {
-        return watch.servers();
+        return discoveryWatch.listedCaches();
     }
 
     @Override
@@ -94,70 +95,72 @@
 
     @Override
     public void routeChanged(ZoneRouter.LocalRoute route) {
-        zoned = true;
+        zonePlansEnabled = true;
         ZoneRouter router =
                 new ZoneRouter(
                         route,
                         config.names().zones(),
                         config.settings().categories(),
-                        tally.requestsPerSecondByCategory(),
-                        placed);
-        inbox.first(new Notice.Hint(new Event.PlacementChanged(router)));
+                        loadCounters.requestsPerSecondByCategory(),
+                        placementCounts);
+        eventQueue.postUrgent(new ProxyEvent.RouterEventRaised(new Event.PlacementChanged(router)));
     }
 
     /** Before anything starts. */
-    void of(FleetMember member) {
-        fleet = member;
+    void setMember(FleetMember member) {
+        fleetMember = member;
     }
 
     @Override
     public RecoveryProgress recoveryProgress() {
-        FleetMember mine = fleet;
-        return recovery == null
+        FleetMember mine = fleetMember;
+        return recoveryLink == null
                 ? RecoveryProgress.NONE
-                : recovery.told(mine == null ? 0 : mine.planEpoch());
+                : recoveryLink.progress(mine == null ? 0 : mine.planEpoch());
     }
 
     @Override
     public void viewPublished(MembershipView view) {
-        if (zoned) {
-            tally.nodesToProbe(clock.now()).forEach(node -> probe(node.value()));
+        if (zonePlansEnabled) {
+            loadCounters.nodesToProbe(clock.now()).forEach(node -> probe(node.value()));
         }
-        if (recovery != null) {
-            recovery.seen(view);
+        if (recoveryLink != null) {
+            recoveryLink.fleetChanged(view);
         }
     }
 
     @Override
     public byte[] endpointList() {
-        return recovery == null ? new byte[0] : recovery.roster();
+        return recoveryLink == null ? new byte[0] : recoveryLink.confirmedEndpointList();
     }
 
     /** What plans have placed where, since the start. */
-    Map<String, Long> gauges() {
+    Map<String, Long> placementMetrics() {
         return Map.of(
                 "zones.near_total",
-                placed.local.sum(),
+                placementCounts.local.sum(),
                 "zones.far_total",
-                placed.remote.sum(),
+                placementCounts.remote.sum(),
                 "zones.shed_total",
-                placed.shed.sum());
+                placementCounts.shed.sum());
     }
 
     @Override
     public void proxyCountChanged(int proxies) {
-        inbox.first(new Notice.Hint(new Event.LiveProxyCountChanged(proxies)));
+        eventQueue.postUrgent(
+                new ProxyEvent.RouterEventRaised(new Event.LiveProxyCountChanged(proxies)));
     }
 
     @Override
     public void nodeSuspected(long node) {
-        inbox.first(new Notice.Hint(new Event.NodeSuspected(new NodeId(node))));
+        eventQueue.postUrgent(
+                new ProxyEvent.RouterEventRaised(new Event.NodeSuspected(new NodeId(node))));
     }
 
     @Override
     public void probe(long node) {
         if (config.settings().mayProbe()) {
-            inbox.first(new Notice.Asked(new NodeId(node)));
+            eventQueue.postUrgent(new ProxyEvent.HealthCheckRequested(new NodeId(node)));
         }
     }
 }
--- a/src/main/java/cairnbridge/proxy/Get.java
+++ b/src/main/java/cairnbridge/proxy/HttpGet.java
@@ -17,66 +17,66 @@
 import org.apache.hc.core5.http.protocol.HttpContext;
 
 /** A request of the proxy's own, to discovery or as a probe; its answer comes line by line. */
-abstract class Get extends Call {
-    private static final int MOST_LINE = 8 << 20;
+abstract class HttpGet extends UpstreamExchange {
+    private static final int MAX_LINE_BYTES = 8 << 20;
     private final String host;
     private final String target;
-    private final ByteArrayOutputStream line = new ByteArrayOutputStream(256);
-    private boolean over;
-    private boolean sent;
-    private byte[] value;
+    private final ByteArrayOutputStream lineBuffer = new ByteArrayOutputStream(256);
+    private boolean finished;
+    private boolean requestStarted;
+    private byte[] putBody;
 
-    Get(InetSocketAddress address, String target) {
+    HttpGet(InetSocketAddress address, String target) {
         this.host = address.getHostString() + ":" + address.getPort();
         this.target = target;
     }
 
     /** It is to write a value instead of reading one. */
-    void writes(byte[] bytes) {
-        value = bytes;
+    void setPutBody(byte[] bytes) {
+        putBody = bytes;
     }
 
     /** Adds what further headers the request needs. */
-    void dress(BasicHttpRequest request) {
+    void addHeaders(BasicHttpRequest request) {
         // Host is enough for most.
     }
 
-    abstract void begun(int code);
+    abstract void onStatus(int code);
 
-    abstract void line(String text);
+    abstract void onLine(String text);
 
     /**
      * Once: ACKED where the answer came to its end, whatever its status, else how the connection
      * failed.
      */
-    abstract void over(AttemptOutcome how);
+    abstract void onEnd(AttemptOutcome how);
 
-    private void end(AttemptOutcome how) {
-        if (!over) {
-            over = true;
-            over(how);
+    private void finishOnce(AttemptOutcome how) {
+        if (!finished) {
+            finished = true;
+            onEnd(how);
         }
     }
 
     @Override
     public void produceRequest(RequestChannel channel, HttpContext context)
             throws HttpException, IOException {
-        sent = true;
-        begins();
-        BasicHttpRequest request = new BasicHttpRequest(value == null ? "GET" : "PUT", target);
+        requestStarted = true;
+        startRequest();
+        BasicHttpRequest request = new BasicHttpRequest(putBody == null ? "GET" : "PUT", target);
         request.addHeader("Host", host);
-        dress(request);
-        RemainingBytes rest = new RemainingBytes(value);
-        body(rest);
-        channel.sendRequest(request, rest.entity(), context);
+        addHeaders(request);
+        ByteArrayBody rest = new ByteArrayBody(putBody);
+        setBody(rest);
+        channel.sendRequest(request, rest.entityDetails(), context);
     }
 
     @Override
     public void consumeResponse(HttpResponse response, EntityDetails entity, HttpContext context) {
-        begun(response.getCode());
+        onStatus(response.getCode());
         if (entity == null) {
-            answered();
-            end(AttemptOutcome.SUCCESS);
+            completeResponse();
+            finishOnce(AttemptOutcome.SUCCESS);
         }
     }
 
@@ -85,28 +85,28 @@
         while (src.hasRemaining()) {
             byte b = src.get();
             if (b == '\n') {
-                flush();
-            } else if (line.size() < MOST_LINE) {
-                line.write(b);
+                emitLine();
+            } else if (lineBuffer.size() < MAX_LINE_BYTES) {
+                lineBuffer.write(b);
             } else {
                 throw new IOException("line is too long");
             }
         }
     }
 
-    private void flush() {
-        String text = line.toString(StandardCharsets.UTF_8);
-        line.reset();
-        line(text);
+    private void emitLine() {
+        String text = lineBuffer.toString(StandardCharsets.UTF_8);
+        lineBuffer.reset();
+        onLine(text);
     }
 
     @Override
     public void streamEnd(List<? extends Header> trailers) {
-        if (line.size() > 0) {
-            flush();
+        if (lineBuffer.size() > 0) {
+            emitLine();
         }
-        answered();
-        end(AttemptOutcome.SUCCESS);
+        completeResponse();
+        finishOnce(AttemptOutcome.SUCCESS);
     }
 
     @Override
@@ -115,6 +115,6 @@
                 cause instanceof SocketTimeoutException
                         ? AttemptOutcome.TIMED_OUT
                         : AttemptOutcome.CONNECTION_LOST;
-        end(sent ? late : AttemptOutcome.CONNECT_FAILED);
+        finishOnce(requestStarted ? late : AttemptOutcome.CONNECT_FAILED);
     }
 }
--- a/src/main/java/cairnbridge/proxy/Holds.java
+++ b/src/main/java/cairnbridge/proxy/Invariants.java
@@ -8,20 +8,20 @@
  * What must hold: asserted in debug builds, counted in release builds and said in the log, each
  * once.
  */
-final class Holds {
-    private static final Logger LOG = Logger.getLogger(Holds.class.getName());
-    private final Map<String, Integer> broken = new TreeMap<>();
+final class Invariants {
+    private static final Logger LOG = Logger.getLogger(Invariants.class.getName());
+    private final Map<String, Integer> violations = new TreeMap<>();
 
     /** Owner thread only. */
-    boolean that(boolean held, String what) {
+    boolean check(boolean held, String what) {
         assert held : what;
-        if (!held && broken.merge(what, 1, Integer::sum) == 1) {
+        if (!held && violations.merge(what, 1, Integer::sum) == 1) {
             LOG.severe("does not hold: " + what);
         }
         return held;
     }
 
-    Map<String, Integer> broken() {
-        return broken;
+    Map<String, Integer> violations() {
+        return violations;
     }
 }
--- a/src/main/java/cairnbridge/proxy/LingeringSession.java
+++ b/src/main/java/cairnbridge/proxy/LingeringSession.java
@@ -27,19 +27,19 @@
  * not read as a request: its client sees the connection end and sends it elsewhere.
  */
 final class LingeringSession implements ProtocolIOSession {
-    private static final int SCRATCH = 4096;
-    private static final int MOST_ROUNDS = 16;
+    private static final int SCRATCH_BYTES = 4096;
+    private static final int MAX_READS = 16;
 
     private final ProtocolIOSession session;
-    private final Consumer<LingeringSession> closing;
-    private volatile long closingAt;
-    private volatile boolean ended;
-    private long thrownAway;
+    private final Consumer<LingeringSession> onClosing;
+    private volatile long closingAtNanos;
+    private volatile boolean peerClosed;
+    private long discardedBytes;
 
     /** closing is told when the output has been shut down. */
     LingeringSession(ProtocolIOSession session, Consumer<LingeringSession> closing) {
         this.session = session;
-        this.closing = closing;
+        this.onClosing = closing;
     }
 
     /** Waits for the client's end no longer. */
@@ -49,31 +49,31 @@
 
     /** The output has been shut down. */
     boolean isClosing() {
-        return closingAt != 0;
+        return closingAtNanos != 0;
     }
 
     /** For how long it has been waited for the client's own end, in milliseconds. */
-    long lingers(long nanoTime) {
-        return isClosing() ? (nanoTime - closingAt) / 1_000_000 : 0;
+    long lingeringMillis(long nanoTime) {
+        return isClosing() ? (nanoTime - closingAtNanos) / 1_000_000 : 0;
     }
 
     /**
      * The client has ended its side: by the page it has gone, whether or not it would still read.
      */
-    boolean hasEnded() {
-        return ended;
+    boolean hasPeerClosed() {
+        return peerClosed;
     }
 
     /** Reactor only. Reads what there is to nowhere; how much that has been so far. */
-    long throwAway() throws IOException {
-        ByteBuffer scratch = ByteBuffer.allocate(SCRATCH);
+    long discardInput() throws IOException {
+        ByteBuffer scratch = ByteBuffer.allocate(SCRATCH_BYTES);
         int count = 1;
-        for (int i = 0; i < MOST_ROUNDS && count > 0; i++) {
+        for (int i = 0; i < MAX_READS && count > 0; i++) {
             scratch.clear();
             count = read(scratch);
-            thrownAway += Math.max(0, count);
+            discardedBytes += Math.max(0, count);
         }
-        return thrownAway;
+        return discardedBytes;
     }
 
     /**
@@ -82,7 +82,7 @@
      */
     void linger(long most) {
         try {
-            if (throwAway() > most || hasEnded()) {
+            if (discardInput() > most || hasPeerClosed()) {
                 release();
             }
         } catch (IOException e) {
@@ -94,7 +94,7 @@
     @Override
     public int read(ByteBuffer dst) throws IOException {
         int count = session.read(dst);
-        ended |= count < 0;
+        peerClosed |= count < 0;
         return count;
     }
 
@@ -105,14 +105,14 @@
 
     @Override
     public void close(CloseMode mode) {
-        if (mode == CloseMode.IMMEDIATE || ended) {
+        if (mode == CloseMode.IMMEDIATE || peerClosed) {
             session.close(mode);
         } else if (!isClosing() && session.isOpen()) {
             try {
                 ((SocketChannel) session.channel()).shutdownOutput();
-                closingAt = System.nanoTime();
+                closingAtNanos = System.nanoTime();
                 session.setEventMask(SelectionKey.OP_READ);
-                closing.accept(this);
+                onClosing.accept(this);
             } catch (IOException e) {
                 session.close(mode);
             }
--- a/src/main/java/cairnbridge/proxy/Listen.java
+++ b/src/main/java/cairnbridge/proxy/ListenerState.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /** What is read off every request, and whether the proxy takes ops yet or is about to end. */
-final class Listen {
+final class ListenerState {
     /** Whether the proxy takes requests. */
     enum State {
         STARTING,
@@ -20,17 +20,17 @@
      * No op is kept longer, whatever its client says: an hour of patience would be an hour of
      * memory.
      */
-    private static final long LONGEST = 60 * Clock.SECOND;
+    private static final long MAX_TTL_TICKS = 60 * TickClock.TICKS_PER_SECOND;
 
     /** Bytes a millisecond that a client gives of its body, at the least. */
-    static final long LEAST_RATE = 48;
+    static final long MIN_BODY_BYTES_PER_MILLI = 48;
 
-    final Clock clock;
+    final TickClock clock;
 
     /** What all pipes hold. */
-    final AtomicLong piped = new AtomicLong();
+    final AtomicLong pipedBytes = new AtomicLong();
 
-    private volatile long latest = Long.MAX_VALUE;
+    private volatile long shutdownDeadlineTicks = Long.MAX_VALUE;
     private final Map<String, Integer> categories = new HashMap<>();
 
     /**
@@ -39,15 +39,15 @@
      */
     private volatile State state = State.STARTING;
 
-    private boolean away;
+    private boolean standbyRequested;
     volatile boolean crowded;
-    final ProxyMetrics figures;
+    final ProxyMetrics metrics;
 
     /** Its requests are none of the clients'; it stays, to know them. */
-    volatile Warm warm;
+    volatile Warmup warmup;
 
-    Listen(Clock clock, List<String> names, ProxyMetrics figures) {
-        this.figures = figures;
+    ListenerState(TickClock clock, List<String> names, ProxyMetrics figures) {
+        this.metrics = figures;
         this.clock = clock;
         names.forEach(name -> categories.putIfAbsent(name, categories.size()));
     }
@@ -57,19 +57,19 @@
     }
 
     /** The start is over. */
-    synchronized void serve() {
-        state = state == State.STARTING ? away ? State.STANDBY : State.SERVING : state;
+    synchronized void startServing() {
+        state = state == State.STARTING ? standbyRequested ? State.STANDBY : State.SERVING : state;
     }
 
     /** Guards against a call that makes a proxy ready which has not started yet, or which ends. */
-    synchronized void sendAway(boolean on) {
-        away = on;
+    synchronized void setStandby(boolean on) {
+        standbyRequested = on;
         if (state == State.SERVING || state == State.STANDBY) {
             state = on ? State.STANDBY : State.SERVING;
         }
     }
 
-    synchronized void drain() {
+    synchronized void startDraining() {
         state = State.DRAINING;
     }
 
@@ -78,46 +78,48 @@
     }
 
     /** The connection is to end with the answer given on it. */
-    boolean closes() {
+    boolean isClosingConnections() {
         State now = state;
         return crowded || now == State.STANDBY || now == State.DRAINING;
     }
 
     /** No op is kept beyond this time of the clock. */
-    void endsBy(long end) {
-        latest = end;
+    void setShutdownDeadline(long end) {
+        shutdownDeadlineTicks = end;
     }
 
     /**
      * When an op read at a time ends: as its client says, a minute at most, and before the proxy
      * does.
      */
-    long expires(long now, long ttl) {
-        return Math.min(now + Math.min(ttl, LONGEST), latest);
+    long deadline(long now, long ttl) {
+        return Math.min(now + Math.min(ttl, MAX_TTL_TICKS), shutdownDeadlineTicks);
     }
 
     /** The same for one whose body passes through: its client may take its time for the rest. */
-    long expiresLong(long now, long ttl, long left) {
-        long slowest = left / LEAST_RATE * Clock.MILLI + Clock.SECOND;
-        return Math.min(now + Math.min(ttl, LONGEST) + slowest, latest);
+    long streamingDeadline(long now, long ttl, long left) {
+        long slowest =
+                left / MIN_BODY_BYTES_PER_MILLI * TickClock.TICKS_PER_MILLI
+                        + TickClock.TICKS_PER_SECOND;
+        return Math.min(now + Math.min(ttl, MAX_TTL_TICKS) + slowest, shutdownDeadlineTicks);
     }
 
     /** Guards against the absolute form, which every server has to take: only its path goes on. */
-    static String path(String target) {
+    static String pathOf(String target) {
         int scheme = target.startsWith("/") ? -1 : target.indexOf("://");
         int path = scheme < 0 ? 0 : target.indexOf('/', scheme + 3);
         return path < 0 ? "/" : target.substring(path);
     }
 
     /** A category's number by its name, or null. */
-    Integer category(String name) {
+    Integer categoryNumber(String name) {
         return categories.get(name);
     }
 
     /**
      * A number and a unit, m for milliseconds or u for microseconds, in tenths; 0 where it is none.
      */
-    static long ttl(String text) {
+    static long parseTtlTicks(String text) {
         int last = text == null ? 0 : text.length() - 1;
         if (last < 1 || last > 12) {
             return 0;
@@ -131,8 +133,8 @@
             number = number * 10 + digit;
         }
         return switch (text.charAt(last)) {
-            case 'm' -> number * Clock.MILLI;
-            case 'u' -> number / (1000 / Clock.MILLI);
+            case 'm' -> number * TickClock.TICKS_PER_MILLI;
+            case 'u' -> number / (1000 / TickClock.TICKS_PER_MILLI);
             default -> 0;
         };
     }
--- a/src/main/java/cairnbridge/proxy/Maintenance.java
+++ b/src/main/java/cairnbridge/proxy/MaintenanceMarks.java
@@ -24,61 +24,66 @@
  * successor share, so that both agree with no lock. Changes go to the owner in the order in which
  * they are made.
  */
-final class Maintenance {
-    private static final Logger LOG = Logger.getLogger(Maintenance.class.getName());
+final class MaintenanceMarks {
+    private static final Logger LOG = Logger.getLogger(MaintenanceMarks.class.getName());
 
     /**
      * How often the marks are looked at, and after how long another process is sure to have seen
      * one.
      */
-    static final long LOOK_MILLIS = 100;
+    static final long REFRESH_MILLIS = 100;
 
-    private static final long SEEN_MILLIS = 3 * LOOK_MILLIS;
-    private static final long KEPT_MILLIS = 500;
-    private static final String MARK = "hold-";
-    private static final String HEX = "[0-9a-f]{1,16}";
+    private static final long SIBLING_REFRESH_MILLIS = 3 * REFRESH_MILLIS;
+    private static final long PERSIST_TIMEOUT_MILLIS = 500;
+    private static final String MARK_PREFIX = "hold-";
+    private static final String HEX_PATTERN = "[0-9a-f]{1,16}";
 
     private final Optional<Path> folder;
-    private final Inbox inbox;
-    private final Predicate<NodeId> listed;
-    private final BooleanSupplier shared;
-    private final Set<NodeId> held = new HashSet<>();
-    private final OddityLog odd = new OddityLog(LOG, "maintenance");
+    private final EventQueue eventQueue;
+    private final Predicate<NodeId> isListed;
+    private final BooleanSupplier hasSiblings;
+    private final Set<NodeId> nodesInMaintenance = new HashSet<>();
+    private final DeduplicatedLog deduplicatedLog = new DeduplicatedLog(LOG, "maintenance");
 
     /** Keeps a hold over a loss of power: true once it does. Null where nothing is kept. */
-    private BiFunction<NodeId, Boolean, CompletableFuture<Boolean>> keeps;
+    private BiFunction<NodeId, Boolean, CompletableFuture<Boolean>> persistence;
 
     /** folder is empty where none is shared: holds then end with the process. */
-    Maintenance(
-            Optional<Path> folder, Inbox inbox, Predicate<NodeId> listed, BooleanSupplier shared) {
-        this.shared = shared;
+    MaintenanceMarks(
+            Optional<Path> folder,
+            EventQueue inbox,
+            Predicate<NodeId> listed,
+            BooleanSupplier shared) {
+        this.hasSiblings = shared;
         this.folder = folder;
-        this.inbox = inbox;
-        this.listed = listed;
+        this.eventQueue = inbox;
+        this.isListed = listed;
     }
 
     /**
      * Takes a node out or puts it back; true once the module knows, false where no such node is
      * known.
      */
-    synchronized CompletableFuture<Boolean> hold(String uid, boolean on) {
+    synchronized CompletableFuture<Boolean> setMaintenance(String uid, boolean on) {
         NodeId node = new NodeId(Fnv1a.hash(uid));
-        if (uid.isEmpty() || !held.contains(node) && !listed.test(node)) {
+        if (uid.isEmpty() || !nodesInMaintenance.contains(node) && !isListed.test(node)) {
             return CompletableFuture.completedFuture(false);
         }
         try {
-            mark(node, on);
+            writeMark(node, on);
         } catch (IOException e) {
             LOG.severe("maintenance: the mark cannot be kept, " + e);
             return CompletableFuture.failedFuture(e);
         }
         LOG.info("maintenance: " + uid + (on ? " is taken out" : " is put back"));
-        CompletableFuture<Boolean> done = tell(node, on);
-        if (keeps != null) {
+        CompletableFuture<Boolean> done = postChange(node, on);
+        if (persistence != null) {
             // Guards against staff who rely on a hold that the next loss of power would undo.
             CompletableFuture<Boolean> kept =
-                    keeps.apply(node, on)
-                            .completeOnTimeout(false, KEPT_MILLIS, TimeUnit.MILLISECONDS);
+                    persistence
+                            .apply(node, on)
+                            .completeOnTimeout(
+                                    false, PERSIST_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
             done =
                     done.thenCombine(
                             kept,
@@ -91,16 +96,17 @@
         }
         // Guards against a push of the other process after this one's yes: it looks a few times a
         // second.
-        return !shared.getAsBoolean()
+        return !hasSiblings.getAsBoolean()
                 ? done
                 : done.thenApplyAsync(
                         taken -> taken,
-                        CompletableFuture.delayedExecutor(SEEN_MILLIS, TimeUnit.MILLISECONDS));
+                        CompletableFuture.delayedExecutor(
+                                SIBLING_REFRESH_MILLIS, TimeUnit.MILLISECONDS));
     }
 
     /** Has holds kept over a loss of power; before the first of them. */
-    void keepsBy(BiFunction<NodeId, Boolean, CompletableFuture<Boolean>> keeper) {
-        keeps = keeper;
+    void setPersistence(BiFunction<NodeId, Boolean, CompletableFuture<Boolean>> keeper) {
+        persistence = keeper;
     }
 
     /** Nodes that staff had taken out before a loss of power are out again. */
@@ -108,30 +114,30 @@
         for (long each : nodes) {
             NodeId node = new NodeId(each);
             try {
-                mark(node, true);
+                writeMark(node, true);
             } catch (IOException e) {
-                odd.say("the mark cannot be kept, " + e);
+                deduplicatedLog.warnOnce("the mark cannot be kept, " + e);
             }
-            if (!held.contains(node)) {
+            if (!nodesInMaintenance.contains(node)) {
                 LOG.info(
                         "maintenance: node "
                                 + Long.toHexString(each)
                                 + " stays out, as staff had it");
-                tell(node, true);
+                postChange(node, true);
             }
         }
     }
 
     /** Nodes that are out. */
-    synchronized List<Long> held() {
-        return held.stream().map(NodeId::value).sorted().toList();
+    synchronized List<Long> nodesInMaintenance() {
+        return nodesInMaintenance.stream().map(NodeId::value).sorted().toList();
     }
 
-    private void mark(NodeId node, boolean on) throws IOException {
+    private void writeMark(NodeId node, boolean on) throws IOException {
         if (folder.isEmpty()) {
             return;
         }
-        Path mark = folder.get().resolve(MARK + Long.toHexString(node.value()));
+        Path mark = folder.get().resolve(MARK_PREFIX + Long.toHexString(node.value()));
         if (!on) {
             Files.deleteIfExists(mark);
         } else if (!Files.exists(mark)) {
@@ -139,27 +145,28 @@
         }
     }
 
-    private CompletableFuture<Boolean> tell(NodeId node, boolean on) {
+    private CompletableFuture<Boolean> postChange(NodeId node, boolean on) {
         if (on) {
-            held.add(node);
+            nodesInMaintenance.add(node);
         } else {
-            held.remove(node);
+            nodesInMaintenance.remove(node);
         }
         CompletableFuture<Boolean> done = new CompletableFuture<>();
-        inbox.first(new Notice.Held(node, on, done));
+        eventQueue.postUrgent(new ProxyEvent.NodeMaintenanceChanged(node, on, done));
         return done;
     }
 
-    private void read(String name, Set<NodeId> marked) {
-        if (name.matches(MARK + HEX)) {
-            marked.add(new NodeId(Long.parseUnsignedLong(name.substring(MARK.length()), 16)));
+    private void parseMark(String name, Set<NodeId> marked) {
+        if (name.matches(MARK_PREFIX + HEX_PATTERN)) {
+            marked.add(
+                    new NodeId(Long.parseUnsignedLong(name.substring(MARK_PREFIX.length()), 16)));
         } else {
-            odd.say("no mark of this program's, " + name);
+            deduplicatedLog.warnOnce("no mark of this program's, " + name);
         }
     }
 
     /** Follows what another process has marked; before the first op, then a few times a second. */
-    synchronized void look() {
+    synchronized void refresh() {
         if (folder.isEmpty()) {
             return;
         }
@@ -168,20 +175,20 @@
         // it.
         try (Stream<Path> files = Files.list(folder.get())) {
             files.map(file -> file.getFileName().toString())
-                    .filter(name -> name.startsWith(MARK))
-                    .forEach(name -> read(name, marked));
+                    .filter(name -> name.startsWith(MARK_PREFIX))
+                    .forEach(name -> parseMark(name, marked));
         } catch (IOException | UncheckedIOException e) {
-            odd.say("the marks cannot be read, who is out stays out: " + e);
+            deduplicatedLog.warnOnce("the marks cannot be read, who is out stays out: " + e);
             return;
         }
         for (NodeId node : marked) {
-            if (!held.contains(node)) {
-                tell(node, true);
+            if (!nodesInMaintenance.contains(node)) {
+                postChange(node, true);
             }
         }
-        for (NodeId node : Set.copyOf(held)) {
+        for (NodeId node : Set.copyOf(nodesInMaintenance)) {
             if (!marked.contains(node)) {
-                tell(node, false);
+                postChange(node, false);
             }
         }
     }
--- a/src/main/java/cairnbridge/proxy/Body.java
+++ b/src/main/java/cairnbridge/proxy/MessageBody.java
@@ -5,13 +5,13 @@
 import org.apache.hc.core5.http.nio.DataStreamChannel;
 
 /** The body of a message that goes out. */
-interface Body {
+interface MessageBody {
     /** Above 0 while there is something to hand over, its end included. */
-    int left();
+    int availableBytes();
 
     /** What the message's head says of the body; null where there is none. */
-    EntityDetails entity();
+    EntityDetails entityDetails();
 
     /** Hands over what it can; true, once, where that was the last byte. */
-    boolean write(DataStreamChannel out) throws IOException;
+    boolean writeTo(DataStreamChannel out) throws IOException;
 }
--- a/src/main/java/cairnbridge/proxy/Serve.java
+++ b/src/main/java/cairnbridge/proxy/ProxyServer.java
@@ -28,71 +28,74 @@
  * Puts one proxy together: the reactor, the owner thread, the watch; starts it and brings it to its
  * end.
  */
-public final class Serve implements AdminOperations {
-    private static final Logger LOG = Logger.getLogger(Serve.class.getName());
+public final class ProxyServer implements AdminOperations {
+    private static final Logger LOG = Logger.getLogger(ProxyServer.class.getName());
 
     /** After the last op in time, until no more connections are taken. */
-    private static final long CLOSING_MILLIS = 200;
+    private static final long CLOSE_GRACE_MILLIS = 200;
 
-    private static final long STEP_MILLIS = 10;
-    private static final long LOOK_MILLIS = 200;
-    private static final long KEEP_MILLIS = 1000;
+    private static final long DRAIN_POLL_MILLIS = 10;
+    private static final long CONNECTION_CHECK_MILLIS = 200;
+    private static final long WARM_START_SAVE_MILLIS = 1000;
 
     /**
      * Each connection has a few notices out at most, so that this queue is never full in practice.
      */
-    private static final int NOTICES_PER_SOCKET = 8;
+    private static final int EVENTS_PER_SOCKET = 8;
 
     /** The thread that decides, as thread dumps name it. */
-    static final String OWNER = "owner";
+    static final String OWNER_THREAD_NAME = "owner";
 
     private final ProxyConfig config;
-    private final Listen listen;
-    private final Sockets sockets;
-    private final ProxyMetrics figures;
-    private final Beside beside;
-    private final Maintenance maintenance;
-    private final OddityLog odd = new OddityLog(LOG, "learnt");
-    private final Decide decide;
-    private final Inbox inbox;
-    private final RosterWatch watch;
-    private final ScheduledExecutorService timer;
-    private final Thread owner;
-    private final Runnable whenBroken;
+    private final ListenerState listenerState;
+    private final ConnectionReactor reactor;
+    private final ProxyMetrics metrics;
+    private final SiblingProcesses siblings;
+    private final MaintenanceMarks maintenanceMarks;
+    private final DeduplicatedLog deduplicatedLog = new DeduplicatedLog(LOG, "learnt");
+    private final RequestCoordinator coordinator;
+    private final EventQueue eventQueue;
+    private final DiscoveryWatch discoveryWatch;
+    private final ScheduledExecutorService scheduler;
+    private final Thread ownerThread;
+    private final Runnable onFatalError;
     private volatile boolean stopping;
-    private volatile AdminServer door;
+    private volatile AdminServer adminServer;
 
     /** Null where this proxy is alone, as on the platform. */
-    private volatile FleetMember fleet;
+    private volatile FleetMember fleetMember;
 
     /** Null where nothing is kept over a loss of power. */
-    private volatile Keeping keeping;
+    private volatile StatePersistence statePersistence;
 
     /** whenBroken is run if a thread that the proxy cannot do without ends before its time. */
-    public Serve(ProxyConfig config, Runnable whenBroken) {
-        this(config, whenBroken, new Clock());
+    public ProxyServer(ProxyConfig config, Runnable whenBroken) {
+        this(config, whenBroken, new TickClock());
     }
 
     /**
      * before: what the one before had learnt, from a better source than the configuration's file.
      */
-    public Serve(ProxyConfig config, Runnable whenBroken, WarmStartState before) {
-        this(config, whenBroken, new Clock(), before);
+    public ProxyServer(ProxyConfig config, Runnable whenBroken, WarmStartState before) {
+        this(config, whenBroken, new TickClock(), before);
     }
 
-    Serve(ProxyConfig config, Runnable whenBroken, Clock clock) {
+    ProxyServer(ProxyConfig config, Runnable whenBroken, TickClock clock) {
         this(config, whenBroken, clock, WarmStartState.EMPTY);
     }
 
-    private Serve(ProxyConfig config, Runnable whenBroken, Clock clock, WarmStartState before) {
+    private ProxyServer(
+            ProxyConfig config, Runnable whenBroken, TickClock clock, WarmStartState before) {
         this.config = config;
-        this.whenBroken = whenBroken;
-        inbox = new Inbox(NOTICES_PER_SOCKET * config.network().maxSockets());
-        figures = new ProxyMetrics(config.names().categories());
-        beside = new Beside(config.stateFolder());
-        listen = new Listen(clock, config.names().categories(), figures);
-        sockets = new Sockets(config, inbox, listen, this::vital);
-        timer =
+        this.onFatalError = whenBroken;
+        eventQueue = new EventQueue(EVENTS_PER_SOCKET * config.network().maxSockets());
+        metrics = new ProxyMetrics(config.names().categories());
+        siblings = new SiblingProcesses(config.stateFolder());
+        listenerState = new ListenerState(clock, config.names().categories(), metrics);
+        reactor =
+                new ConnectionReactor(
+                        config, eventQueue, listenerState, this::createCriticalThread);
+        scheduler =
                 new ScheduledThreadPoolExecutor(
                         1,
                         task -> {
@@ -101,34 +104,34 @@
                             return thread;
                         },
                         new ThreadPoolExecutor.DiscardPolicy());
-        watch = new RosterWatch(config, sockets, inbox, timer, figures);
+        discoveryWatch = new DiscoveryWatch(config, reactor, eventQueue, scheduler, metrics);
         // Guards against a hold that is refused, and kept by nobody, while a starting process has
         // no list.
-        maintenance =
-                new Maintenance(
+        maintenanceMarks =
+                new MaintenanceMarks(
                         config.stateFolder(),
-                        inbox,
-                        node -> watch.names(node) || !watch.hasNames(),
-                        beside::isShared);
+                        eventQueue,
+                        node -> discoveryWatch.isListed(node) || !discoveryWatch.hasList(),
+                        siblings::hasSiblings);
         WarmStartState learnt = config.readWarmStart();
-        decide =
-                new Decide(
+        coordinator =
+                new RequestCoordinator(
                         config,
-                        inbox,
+                        eventQueue,
                         clock,
-                        sockets,
-                        watch,
+                        reactor,
+                        discoveryWatch,
                         before.recordedAt() > learnt.recordedAt() ? before : learnt,
-                        figures);
-        owner = vital(decide);
-        owner.setName(OWNER);
+                        metrics);
+        ownerThread = createCriticalThread(coordinator);
+        ownerThread.setName(OWNER_THREAD_NAME);
     }
 
     /**
      * Guards against a proxy that stands but serves nobody: the library ends a thread on some
      * faults.
      */
-    private Thread vital(Runnable task) {
+    private Thread createCriticalThread(Runnable task) {
         Thread thread =
                 new Thread(
                         () -> {
@@ -137,7 +140,7 @@
                             } finally {
                                 if (!stopping) {
                                     LOG.severe(config.name() + " cannot go on, a thread has ended");
-                                    whenBroken.run();
+                                    onFatalError.run();
                                 }
                             }
                         });
@@ -149,175 +152,178 @@
      * Makes this proxy a member of a fleet, with what is kept over a loss of power; before its
      * start. IOException names an address that is taken.
      */
-    public void join(FleetConfig of, Optional<StateKeeper> kept) throws IOException {
+    public void joinFleet(FleetConfig of, Optional<StateKeeper> kept) throws IOException {
         FleetLoadCounters tally =
                 new FleetLoadCounters(
-                        config.names().zones(), config.settings(), listen.clock.now());
-        keeping =
+                        config.names().zones(), config.settings(), listenerState.clock.now());
+        statePersistence =
                 kept.map(
                                 keeper ->
-                                        new Keeping(
+                                        new StatePersistence(
                                                 keeper,
                                                 config,
                                                 of,
-                                                maintenance,
-                                                watch,
-                                                decide,
-                                                inbox,
-                                                listen.clock.now()))
+                                                maintenanceMarks,
+                                                discoveryWatch,
+                                                coordinator,
+                                                eventQueue,
+                                                listenerState.clock.now()))
                         .orElse(null);
         FleetLink link =
                 new FleetLink(
                         config,
-                        listen.clock,
-                        listen,
-                        decide,
+                        listenerState.clock,
+                        listenerState,
+                        coordinator,
                         tally,
-                        watch,
-                        inbox,
-                        keeping == null ? null : keeping.link());
-        String staff = config.network().admin().map(Serve::text).orElse("");
-        fleet =
+                        discoveryWatch,
+                        eventQueue,
+                        statePersistence == null ? null : statePersistence.recoveryLink());
+        String staff = config.network().admin().map(ProxyServer::hostAndPort).orElse("");
+        fleetMember =
                 new FleetMember(
                         of,
                         config.settings().proxies(),
-                        new FleetMember.Addresses(text(config.network().listen()), staff),
+                        new FleetMember.Addresses(hostAndPort(config.network().listen()), staff),
                         config.seed(),
-                        keeping == null ? FleetMember.PlanEpochs.NONE : keeping.epochs(),
+                        statePersistence == null
+                                ? FleetMember.PlanEpochs.NONE
+                                : statePersistence.planEpochs(),
                         link);
-        link.of(fleet);
-        if (keeping != null) {
-            keeping.start(fleet);
+        link.setMember(fleetMember);
+        if (statePersistence != null) {
+            statePersistence.start(fleetMember);
         }
-        decide.counts(tally);
-        watch.callsIf(fleet::mayPollDiscovery);
-        figures.addMetrics(
+        coordinator.setLoadCounters(tally);
+        discoveryWatch.setPollPermission(fleetMember::mayPollDiscovery);
+        metrics.addMetrics(
                 () -> {
-                    Map<String, Long> gauges = new LinkedHashMap<>(fleet.metrics());
-                    gauges.putAll(link.gauges());
-                    if (keeping != null) {
-                        gauges.putAll(keeping.link().gauges());
+                    Map<String, Long> gauges = new LinkedHashMap<>(fleetMember.metrics());
+                    gauges.putAll(link.placementMetrics());
+                    if (statePersistence != null) {
+                        gauges.putAll(statePersistence.recoveryLink().metrics());
                     }
                     return gauges;
                 });
     }
 
-    private static String text(InetSocketAddress address) {
+    private static String hostAndPort(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
     /** Listens, learns the list, and says that it is ready. */
     public void start() throws IOException, InterruptedException {
-        if (fleet != null) {
-            fleet.start();
+        if (fleetMember != null) {
+            fleetMember.start();
         }
-        maintenance.look();
-        owner.start();
+        maintenanceMarks.refresh();
+        ownerThread.start();
         if (config.network().admin().isPresent()) {
-            door = new AdminServer(config.network().admin().get(), this, figures);
-            vital(door).start();
+            adminServer = new AdminServer(config.network().admin().get(), this, metrics);
+            createCriticalThread(adminServer).start();
         }
         // Guards against clients that find nobody while a proxy warms up after a restart: it serves
         // them.
         // Where another process does that, they are not to come to one that is cold.
-        boolean alone = !beside.isShared();
-        beside.runs();
-        sockets.start();
-        watch.start();
-        watch.awaitFirst();
+        boolean alone = !siblings.hasSiblings();
+        siblings.markRunning();
+        reactor.start();
+        discoveryWatch.start();
+        discoveryWatch.awaitFirstList();
         if (alone) {
-            sockets.listen(config.network().listen());
+            reactor.listen(config.network().listen());
         }
-        timer.scheduleWithFixedDelay(
-                maintenance::look,
-                Maintenance.LOOK_MILLIS,
-                Maintenance.LOOK_MILLIS,
+        scheduler.scheduleWithFixedDelay(
+                maintenanceMarks::refresh,
+                MaintenanceMarks.REFRESH_MILLIS,
+                MaintenanceMarks.REFRESH_MILLIS,
                 TimeUnit.MILLISECONDS);
-        timer.scheduleWithFixedDelay(
+        scheduler.scheduleWithFixedDelay(
                 () -> {
-                    sockets.beside(beside.share(sockets.held()));
-                    sockets.closeOverdue();
+                    reactor.setSiblingDescriptors(
+                            siblings.exchangeDescriptorCounts(reactor.openDescriptors()));
+                    reactor.closeOverdue();
                 },
-                LOOK_MILLIS,
-                LOOK_MILLIS,
+                CONNECTION_CHECK_MILLIS,
+                CONNECTION_CHECK_MILLIS,
                 TimeUnit.MILLISECONDS);
         // One process alone keeps what it has learnt, for the next to start beside it.
-        timer.scheduleWithFixedDelay(
+        scheduler.scheduleWithFixedDelay(
                 () -> {
-                    if (listen.isReady() && !beside.isShared()) {
-                        keep();
+                    if (listenerState.isReady() && !siblings.hasSiblings()) {
+                        writeWarmStartFile();
                     }
                 },
-                KEEP_MILLIS,
-                KEEP_MILLIS,
+                WARM_START_SAVE_MILLIS,
+                WARM_START_SAVE_MILLIS,
                 TimeUnit.MILLISECONDS);
-        new Warm(config, sockets, listen, alone).run();
+        new Warmup(config, reactor, listenerState, alone).run();
         if (!alone) {
-            sockets.listen(config.network().listen());
+            reactor.listen(config.network().listen());
         }
-        listen.serve();
-        beside.ready();
-        LOG.info(config.name() + " serves on " + sockets.address());
+        listenerState.startServing();
+        siblings.markReady();
+        LOG.info(config.name() + " serves on " + reactor.address());
     }
 
     /** Where clients connect. */
     public InetSocketAddress address() throws IOException {
-        return sockets.address();
+        return reactor.address();
     }
 
     /** What this process holds of its descriptors for connections, dials under way among them. */
-    int held() {
-        return sockets.held();
+    int openDescriptors() {
+        return reactor.openDescriptors();
     }
 
     /** Ends each client's connection, at once or with the answer that is owed on it. */
     void finishClients() {
-        sockets.finishClients();
+        reactor.finishClients();
     }
 
     /** Where staff call; null where the configuration names no place. */
-    public InetSocketAddress door() throws IOException {
-        return door == null ? null : door.address();
+    public InetSocketAddress adminAddress() throws IOException {
+        return adminServer == null ? null : adminServer.address();
     }
 
     @Override
     public boolean isReady() {
-        return listen.isReady();
+        return listenerState.isReady();
     }
 
     @Override
     public Optional<String> fleetStatus(String call, String id) {
-        FleetMember mine = fleet;
+        FleetMember mine = fleetMember;
         return mine == null ? Optional.empty() : mine.status(call, id);
     }
 
     @Override
     public Optional<CompletableFuture<String>> zoneCommand(String line) {
-        FleetMember mine = fleet;
+        FleetMember mine = fleetMember;
         return mine == null ? Optional.empty() : mine.zoneCommand(line);
     }
 
     @Override
     public Optional<String> recoveryStatus() {
-        return Optional.ofNullable(keeping).map(mine -> mine.link().text());
+        return Optional.ofNullable(statePersistence).map(mine -> mine.recoveryLink().statusText());
     }
 
     @Override
     public CompletableFuture<Boolean> setMaintenance(String node, boolean on) {
-        return maintenance.hold(node, on);
+        return maintenanceMarks.setMaintenance(node, on);
     }
 
     @Override
     public void setStandby(boolean on) {
         LOG.info(config.name() + (on ? " sends clients away" : " takes clients again"));
-        listen.sendAway(on);
+        listenerState.setStandby(on);
     }
 
     /** Reads the configuration again; only where discovery is counts before the next start. */
     public void reload(Supplier<ProxyConfig> configuration) {
         try {
             ProxyConfig fresh = configuration.get();
-            watch.move(fresh.network().discovery());
+            discoveryWatch.setDiscoveryAddress(fresh.network().discovery());
             LOG.info(config.name() + " has reloaded, discovery is " + fresh.network().discovery());
         } catch (ConfigurationException e) {
             LOG.severe(config.name() + " keeps its configuration: " + e.getMessage());
@@ -331,45 +337,47 @@
         if (stopping) {
             return; // Guards against a wait for clients where none could ever come.
         }
-        LOG.info(config.name() + " drains, " + decide.live() + " ops under way");
+        LOG.info(config.name() + " drains, " + coordinator.activeRequestCount() + " ops under way");
         long longest =
                 config.settings().categories().stream().mapToLong(c -> c.ttl()).max().orElse(0);
-        long longestMillis = longest / Clock.MILLI;
+        long longestMillis = longest / TickClock.TICKS_PER_MILLI;
         // Guards against a TTL of the settings that is longer than the platform waits before it
         // kills.
         long serves = TimeBudget.shutdownServingMillis(longestMillis);
         long until = System.nanoTime() + TimeBudget.shutdownEndMillis(longestMillis) * 1_000_000;
         long answers =
-                listen.clock.now()
-                        + TimeBudget.shutdownAnsweringMillis(longestMillis) * Clock.MILLI;
-        listen.endsBy(answers);
-        inbox.post(new Notice.StopBy(answers));
+                listenerState.clock.now()
+                        + TimeBudget.shutdownAnsweringMillis(longestMillis)
+                                * TickClock.TICKS_PER_MILLI;
+        listenerState.setShutdownDeadline(answers);
+        eventQueue.post(new ProxyEvent.ShutdownRequested(answers));
         try {
-            if (beside.isReplaced()) {
-                handOver(
+            if (siblings.hasReadySuccessor()) {
+                drainToSuccessor(
                         until - (TimeBudget.shutdownEndMillis(longestMillis) - serves) * 1_000_000);
             } else {
                 // Guards against a gap while the one restarted before is not ready yet: clients
                 // whose
                 // connections stay open go on being served here, no op being kept beyond the end.
                 Thread.sleep(serves);
-                listen.drain();
-                Thread.sleep(CLOSING_MILLIS);
+                listenerState.startDraining();
+                Thread.sleep(CLOSE_GRACE_MILLIS);
                 stopping = true;
-                sockets.stopListening();
+                reactor.stopListening();
             }
             do {
-                sockets.closeIdleClients();
-                Thread.sleep(STEP_MILLIS);
+                reactor.closeIdleClients();
+                Thread.sleep(DRAIN_POLL_MILLIS);
                 // Guards against an answer cut short: its connection goes when its last byte is
                 // written.
-            } while ((decide.live() > 0 || sockets.clients() > 0) && System.nanoTime() < until);
+            } while ((coordinator.activeRequestCount() > 0 || reactor.clientConnectionCount() > 0)
+                    && System.nanoTime() < until);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
         try {
-            if (fleet != null) {
-                fleet.leave();
+            if (fleetMember != null) {
+                fleetMember.leave();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -378,51 +386,51 @@
         LOG.info(
                 config.name()
                         + " ends, "
-                        + decide.live()
+                        + coordinator.activeRequestCount()
                         + " ops under way, broken: "
-                        + decide.broken());
+                        + coordinator.invariantViolations());
     }
 
     /**
      * Guards against requests that meet a closed connection: each connection goes with its next
      * answer.
      */
-    private void handOver(long until) throws InterruptedException {
+    private void drainToSuccessor(long until) throws InterruptedException {
         stopping = true;
-        listen.drain();
-        sockets.stopListening();
+        listenerState.startDraining();
+        reactor.stopListening();
         LOG.info(config.name() + " is replaced by a younger process");
-        while (sockets.clients() > 0 && System.nanoTime() < until) {
-            Thread.sleep(STEP_MILLIS);
+        while (reactor.clientConnectionCount() > 0 && System.nanoTime() < until) {
+            Thread.sleep(DRAIN_POLL_MILLIS);
         }
     }
 
-    private void keep() {
+    private void writeWarmStartFile() {
         try {
-            config.writeWarmStart(decide.learnt());
+            config.writeWarmStart(coordinator.warmStartState());
         } catch (IOException e) {
-            odd.say("not kept, " + e);
+            deduplicatedLog.warnOnce("not kept, " + e);
         }
     }
 
     /** Begins the planned end. */
     public void stop() {
         stopping = true;
-        decide.stop();
-        if (door != null) {
-            door.stop();
+        coordinator.stop();
+        if (adminServer != null) {
+            adminServer.stop();
         }
-        if (fleet != null) {
-            fleet.stop();
+        if (fleetMember != null) {
+            fleetMember.stop();
         }
-        timer.shutdownNow();
-        beside.ends();
+        scheduler.shutdownNow();
+        siblings.removeMarks();
         try {
-            sockets.stop();
-            owner.join();
-            keep();
-            if (keeping != null) {
-                keeping.stop();
+            reactor.stop();
+            ownerThread.join();
+            writeWarmStartFile();
+            if (statePersistence != null) {
+                statePersistence.stop();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/cairnbridge/proxy/RecoveryLink.java
+++ b/src/main/java/cairnbridge/proxy/RecoveryLink.java
@@ -32,19 +32,19 @@
 final class RecoveryLink implements RecoveryHost {
     private static final Logger LOG = Logger.getLogger(RecoveryLink.class.getName());
 
-    private final StateKeeper keeper;
-    private final EndpointListHistory book;
-    private final RosterWatch watch;
-    private final Inbox inbox;
-    private final RecoveryCoordinator recovery;
+    private final StateKeeper stateKeeper;
+    private final EndpointListHistory endpointListHistory;
+    private final DiscoveryWatch discoveryWatch;
+    private final EventQueue eventQueue;
+    private final RecoveryCoordinator coordinator;
     private final Settings settings;
-    private volatile FleetMember fleet;
+    private volatile FleetMember fleetMember;
     private volatile RecoveryPhase phase = RecoveryPhase.AWAIT_MEMBERS;
-    private volatile int pace;
-    private volatile boolean confirmed;
-    private volatile List<String> text = List.of();
-    private volatile long hidden;
-    private volatile long turnedAway;
+    private volatile int originLimit;
+    private volatile boolean endpointListConfirmed;
+    private volatile List<String> statusLines = List.of();
+    private volatile long failedAsUnknown;
+    private volatile long rejected;
 
     RecoveryLink(
             ProxyConfig config,
@@ -52,15 +52,15 @@
             String me,
             String zone,
             EndpointListHistory book,
-            RosterWatch watch,
-            Inbox inbox,
+            DiscoveryWatch watch,
+            EventQueue inbox,
             long now) {
-        this.keeper = keeper;
-        this.book = book;
-        this.watch = watch;
-        this.inbox = inbox;
+        this.stateKeeper = keeper;
+        this.endpointListHistory = book;
+        this.discoveryWatch = watch;
+        this.eventQueue = inbox;
         settings = config.settings();
-        recovery =
+        coordinator =
                 new RecoveryCoordinator(
                         keeper.settings(),
                         keeper.restored(),
@@ -74,113 +74,119 @@
                         RandomGeneratorFactory.of("L64X128MixRandom").create(config.seed()),
                         now,
                         this);
-        pace = recovery.originLimit();
+        originLimit = coordinator.originLimit();
     }
 
     /** Before anything starts. */
-    void of(FleetMember member) {
-        fleet = member;
+    void setMember(FleetMember member) {
+        fleetMember = member;
     }
 
     // The owner thread's.
 
     /** Whether the op goes on; one that does not has had its answer. */
-    boolean takes(Exchange client, long expires, long now) {
+    boolean admit(ClientExchange client, long expires, long now) {
         AdmissionDecision verdict =
-                recovery.admit(
+                coordinator.admit(
                         new IncomingRequest(
-                                client.op,
+                                client.requestId,
                                 client.category,
                                 client.key,
                                 client.write,
-                                client.repeat,
+                                client.clientRetry,
                                 expires),
                         now);
         switch (verdict.kind()) {
             case REJECTED ->
-                    client.nack(
+                    client.rejectRetryable(
                             settings.mayAdviseRetry()
                                     ? Math.min(settings.maxRetryAfter(), verdict.retryAfter())
                                     : 0);
-            case FAILED -> client.deadLetter();
+            case FAILED -> client.failPermanently();
             default -> {}
         }
         return verdict.kind() == AdmissionDecision.Kind.ADMITTED;
     }
 
-    void ended(PushCall call, AttemptOutcome ending, long took, long now) {
-        recovery.attemptEnded(call.client.op, call.node, ending, took, now);
+    void attemptEnded(UpstreamAttempt call, AttemptOutcome ending, long took, long now) {
+        coordinator.attemptEnded(call.exchange.requestId, call.node, ending, took, now);
     }
 
-    void answered(Exchange client) {
-        recovery.requestAnswered(client.op);
+    void requestAnswered(ClientExchange client) {
+        coordinator.requestAnswered(client.requestId);
     }
 
-    void listed(Event.EndpointListReceived roster, long now) {
-        recovery.endpointListChanged(roster, now);
-        publish(now);
+    void endpointListChanged(Event.EndpointListReceived roster, long now) {
+        coordinator.endpointListChanged(roster, now);
+        publishStatus(now);
     }
 
     /** Discovery has a list that is older than the floor; it is not in use. */
-    void older(long version, long now) {
-        recovery.staleListReceived(version, now);
-        publish(now);
+    void staleListReceived(long version, long now) {
+        coordinator.staleListReceived(version, now);
+        publishStatus(now);
     }
 
-    void probed(NodeId node, AttemptOutcome ending, long now) {
-        recovery.probeEnded(node, ending, now);
+    void healthCheckCompleted(NodeId node, AttemptOutcome ending, long now) {
+        coordinator.probeEnded(node, ending, now);
     }
 
-    void seen(FleetSnapshot sight, long now) {
-        recovery.fleetChanged(sight, now);
-        publish(now);
+    void fleetChanged(FleetSnapshot sight, long now) {
+        coordinator.fleetChanged(sight, now);
+        publishStatus(now);
     }
 
-    void turn(long now) {
-        recovery.advance(now);
-        publish(now);
+    void advance(long now) {
+        coordinator.advance(now);
+        publishStatus(now);
     }
 
-    private void publish(long now) {
-        phase = recovery.phase();
-        pace = recovery.originLimit();
-        confirmed = recovery.isEndpointListConfirmed();
-        text = recovery.status(now);
-        hidden = recovery.failedAsUnknown();
-        turnedAway = recovery.rejected();
-        watch.believesFrom(recovery.endpointListFloor());
+    private void publishStatus(long now) {
+        phase = coordinator.phase();
+        originLimit = coordinator.originLimit();
+        endpointListConfirmed = coordinator.isEndpointListConfirmed();
+        statusLines = coordinator.status(now);
+        failedAsUnknown = coordinator.failedAsUnknown();
+        rejected = coordinator.rejected();
+        discoveryWatch.setVersionFloor(coordinator.endpointListFloor());
     }
 
     // What Recovery asks for.
 
     @Override
     public void usePersistedList() {
-        String kept = keeper.restored().endpointList().json();
+        String kept = stateKeeper.restored().endpointList().json();
         if (!kept.isEmpty()) {
-            watch.guess(EndpointListHistory.withStartTimes(kept, System.currentTimeMillis()));
+            discoveryWatch.usePersistedList(
+                    EndpointListHistory.withStartTimes(kept, System.currentTimeMillis()));
         }
     }
 
     @Override
     public void requestEndpointList(String member) {
-        fleet.requestEndpointList(
+        fleetMember.requestEndpointList(
                 new MemberId(member),
                 answer -> {
                     if (answer.isPresent() && answer.get().length > 0) {
-                        watch.guess(new String(answer.get(), StandardCharsets.UTF_8));
+                        discoveryWatch.usePersistedList(
+                                new String(answer.get(), StandardCharsets.UTF_8));
                     }
                 });
     }
 
     @Override
     public void acceptStaleList() {
-        watch.believesFrom(0);
-        watch.askAnew();
+        discoveryWatch.setVersionFloor(0);
+        discoveryWatch.refetch();
     }
 
     @Override
     public void probeOrigin() {
-        recovery.origin().ifPresent(origin -> inbox.first(new Notice.Asked(origin)));
+        coordinator
+                .origin()
+                .ifPresent(
+                        origin ->
+                                eventQueue.postUrgent(new ProxyEvent.HealthCheckRequested(origin)));
     }
 
     @Override
@@ -191,43 +197,48 @@
     // What others are told; any thread.
 
     /** The fleet's thread sees the fleet; the owner thread is told. */
-    void seen(MembershipView view) {
-        keeper.store().checkDisk();
-        inbox.first(new Notice.Seen(FleetSnapshot.of(view)));
+    void fleetChanged(MembershipView view) {
+        stateKeeper.store().checkDisk();
+        eventQueue.postUrgent(new ProxyEvent.FleetChanged(FleetSnapshot.of(view)));
     }
 
-    RecoveryProgress told(long epoch) {
+    RecoveryProgress progress(long epoch) {
         return new RecoveryProgress(
                 phase.announced(),
-                isOver() ? 0 : pace,
-                Math.max(keeper.restored().epochFloor(), epoch));
+                isOver() ? 0 : originLimit,
+                Math.max(stateKeeper.restored().epochFloor(), epoch));
     }
 
     /** The list for a member that asks; a guess of one's own is not passed on. */
-    byte[] roster() {
-        return confirmed ? book.endpointList().getBytes(StandardCharsets.UTF_8) : new byte[0];
+    byte[] confirmedEndpointList() {
+        return endpointListConfirmed
+                ? endpointListHistory.endpointList().getBytes(StandardCharsets.UTF_8)
+                : new byte[0];
     }
 
     boolean isOver() {
         return phase == RecoveryPhase.SERVE_ALL;
     }
 
-    String text() {
+    String statusText() {
         StringBuilder all = new StringBuilder();
-        text.forEach(line -> all.append(line).append('\n'));
-        keeper.restored().report().forEach(line -> all.append("kept, ").append(line).append('\n'));
+        statusLines.forEach(line -> all.append(line).append('\n'));
+        stateKeeper
+                .restored()
+                .report()
+                .forEach(line -> all.append("kept, ").append(line).append('\n'));
         all.append("disk ")
-                .append(keeper.store().isHealthy() ? "keeps" : "does not keep")
+                .append(stateKeeper.store().isHealthy() ? "keeps" : "does not keep")
                 .append('\n');
         return all.toString();
     }
 
-    Map<String, Long> gauges() {
-        Map<String, Long> gauges = new LinkedHashMap<>(keeper.store().metrics().values());
+    Map<String, Long> metrics() {
+        Map<String, Long> gauges = new LinkedHashMap<>(stateKeeper.store().metrics().values());
         gauges.put("recovery.phase", (long) phase.metricValue());
-        gauges.put("recovery.confirmed", confirmed ? 1L : 0L);
-        gauges.put("recovery.turned_away_total", turnedAway);
-        gauges.put("recovery.hidden_total", hidden);
+        gauges.put("recovery.confirmed", endpointListConfirmed ? 1L : 0L);
+        gauges.put("recovery.turned_away_total", rejected);
+        gauges.put("recovery.hidden_total", failedAsUnknown);
         return gauges;
     }
 }
--- a/src/main/java/cairnbridge/proxy/RequestHead.java
+++ b/src/main/java/cairnbridge/proxy/RequestHeadParser.java
@@ -13,15 +13,15 @@
 /**
  * Reads the heads of one client's requests and lets none pass whose end could be read in two ways.
  */
-final class RequestHead extends DefaultHttpRequestParser<HttpRequest> {
-    private final BooleanSupplier busy;
+final class RequestHeadParser extends DefaultHttpRequestParser<HttpRequest> {
+    private final BooleanSupplier requestOpen;
 
     /**
      * busy tells that a request is open on this connection, or that its last answer has been given.
      */
-    RequestHead(Http1Config http, BooleanSupplier busy) {
+    RequestHeadParser(Http1Config http, BooleanSupplier busy) {
         super(http, DefaultHttpRequestFactory.INSTANCE);
-        this.busy = busy;
+        this.requestOpen = busy;
     }
 
     /** What it throws is answered with its status, and the connection ends with that answer. */
@@ -30,14 +30,14 @@
             throws IOException, HttpException {
         // Guards against hundreds of requests at once, and against what follows one that was
         // malformed.
-        if (buffer.hasData() && busy.getAsBoolean()) {
+        if (buffer.hasData() && requestOpen.getAsBoolean()) {
             throw new ProtocolException("one request at a time");
         }
         HttpRequest request = super.parse(buffer, false);
-        Framing.whole(request, buffer, ended);
+        MessageFraming.requireCompleteHead(request, buffer, ended);
         // Guards against a request that hides in the body of another.
         if (request != null) {
-            Framing.check(request, true);
+            MessageFraming.requireClearLength(request, true);
         }
         return request;
     }
--- a/src/main/java/cairnbridge/proxy/AnswerHead.java
+++ b/src/main/java/cairnbridge/proxy/ResponseHeadParser.java
@@ -15,28 +15,28 @@
  * Reads the heads of a server's answers; what it throws ends the connection, and the exchange as
  * broken.
  */
-final class AnswerHead extends DefaultHttpResponseParser<HttpResponse> {
-    private final BooleanSupplier asked;
+final class ResponseHeadParser extends DefaultHttpResponseParser<HttpResponse> {
+    private final BooleanSupplier awaitingResponse;
 
     /** asked tells that a request is out on this connection. */
-    AnswerHead(Http1Config http, BooleanSupplier asked) {
+    ResponseHeadParser(Http1Config http, BooleanSupplier asked) {
         super(http, DefaultHttpResponseFactory.INSTANCE);
-        this.asked = asked;
+        this.awaitingResponse = asked;
     }
 
     @Override
     public HttpResponse parse(SessionInputBuffer buffer, boolean ended)
             throws IOException, HttpException {
         // Guards against bytes past an answer, which the next push would take for its own.
-        if (buffer.hasData() && !asked.getAsBoolean()) {
+        if (buffer.hasData() && !awaitingResponse.getAsBoolean()) {
             throw new ProtocolException("bytes that nobody asked for");
         }
         HttpResponse response = super.parse(buffer, false);
-        Framing.whole(response, buffer, ended);
+        MessageFraming.requireCompleteHead(response, buffer, ended);
         // Guards against spoilt answers: without a length nothing tells a whole one from one that
         // broke off.
         if (response != null && response.getCode() >= HttpStatus.SC_OK) {
-            Framing.check(response);
+            MessageFraming.requireClearLength(response);
         }
         return response;
     }
--- a/src/main/java/cairnbridge/proxy/Permission.java
+++ b/src/main/java/cairnbridge/proxy/SendPermit.java
@@ -9,48 +9,48 @@
  * answers the op or hears that a node drains. Any thread may ask and revoke; nothing here waits,
  * and nothing does I/O.
  */
-final class Permission {
+final class SendPermit {
     /** That of the whole op; null in an op's own. */
-    private final Permission op;
+    private final SendPermit requestPermit;
 
-    private final long latestBegin;
-    private final AtomicReference<AttemptRejection> revoked = new AtomicReference<>();
+    private final long latestStartTicks;
+    private final AtomicReference<AttemptRejection> revocation = new AtomicReference<>();
 
     /** An op's: for as long as its client waits for an answer. */
-    Permission() {
+    SendPermit() {
         this(null, Long.MAX_VALUE);
     }
 
-    private Permission(Permission op, long latestBegin) {
-        this.op = op;
-        this.latestBegin = latestBegin;
+    private SendPermit(SendPermit op, long latestBegin) {
+        this.requestPermit = op;
+        this.latestStartTicks = latestBegin;
     }
 
     /** For one attempt of this op: not at latestBegin or later. */
-    Permission attempt(long latestBegin) {
-        return new Permission(this, latestBegin);
+    SendPermit forAttempt(long latestBegin) {
+        return new SendPermit(this, latestBegin);
     }
 
     /** From now on nothing begins; the first cause stays. */
     void revoke(AttemptRejection why) {
-        revoked.compareAndSet(null, why);
+        revocation.compareAndSet(null, why);
     }
 
     /** Why the first byte may not go out now; null where it may. */
-    AttemptRejection refusal(long now) {
-        AttemptRejection why = revoked.get();
-        if (why == null && op != null) {
-            why = op.refusal(now);
+    AttemptRejection rejection(long now) {
+        AttemptRejection why = revocation.get();
+        if (why == null && requestPermit != null) {
+            why = requestPermit.rejection(now);
         }
-        return why == null && now >= latestBegin ? AttemptRejection.TOO_LATE : why;
+        return why == null && now >= latestStartTicks ? AttemptRejection.TOO_LATE : why;
     }
 
     /**
      * The same for the last byte, with which a node begins. A send to a node that drains counts
      * from its first byte: what has begun in time is finished.
      */
-    AttemptRejection refusalOfRest(long now) {
-        AttemptRejection why = refusal(now);
-        return why == AttemptRejection.NODE_CLOSED ? op.refusal(now) : why;
+    AttemptRejection rejectionOfLastByte(long now) {
+        AttemptRejection why = rejection(now);
+        return why == AttemptRejection.NODE_CLOSED ? requestPermit.rejection(now) : why;
     }
 }
--- a/src/main/java/cairnbridge/proxy/PushCall.java
+++ b/src/main/java/cairnbridge/proxy/UpstreamAttempt.java
@@ -20,68 +20,68 @@
 import org.apache.hc.core5.http.protocol.HttpContext;
 
 /** One push on the wire: its request, its answer, and its one ending. */
-final class PushCall extends Call {
-    private static final Logger LOG = Logger.getLogger(PushCall.class.getName());
+final class UpstreamAttempt extends UpstreamExchange {
+    private static final Logger LOG = Logger.getLogger(UpstreamAttempt.class.getName());
     private static final int OK = 200;
 
     /**
      * Guards against an answer of unknown length held back from its client while it comes in
      * pieces.
      */
-    private static final long SOON = 100 * Clock.MILLI;
+    private static final long STREAM_AFTER_TICKS = 100 * TickClock.TICKS_PER_MILLI;
 
     /** HANDED: bytes may have gone out, so that from then on the op may have run. */
     private enum Stage {
         WAITING,
-        HANDED,
+        SENDING,
         ENDED
     }
 
-    final Exchange client;
+    final ClientExchange exchange;
     final NodeId node;
-    final int number;
-    final long sent;
-    final Permission permission;
-    private final byte[] value;
-    private final long expires;
-    private final Inbox inbox;
-    private final Clock clock;
-    private final ProxyMetrics figures;
+    final int attemptNumber;
+    final long startedAtTicks;
+    final SendPermit sendPermit;
+    private final byte[] requestBody;
+    private final long deadlineTicks;
+    private final EventQueue eventQueue;
+    private final TickClock clock;
+    private final ProxyMetrics metrics;
     private final AtomicReference<Stage> stage = new AtomicReference<>(Stage.WAITING);
-    private int code;
-    private int note;
+    private int statusCode;
+    private int storeNote;
     private boolean neverRan;
-    private Gathered answer;
+    private BufferedBody bufferedResponse;
 
     /** The answer passes through; null while it is gathered. */
-    private Pipe stream;
+    private BodyPipe responsePipe;
 
-    private boolean untold;
+    private boolean lengthUnknown;
     private boolean abandoned;
-    private long headAt;
-    private long came;
-    private volatile long writtenAt;
+    private long headReceivedAtTicks;
+    private long receivedBytes;
+    private volatile long writtenAtTicks;
 
     /** latestBegin: its last byte leaves before that, or not at all. */
-    PushCall(
-            Exchange client,
+    UpstreamAttempt(
+            ClientExchange client,
             NodeId node,
             int number,
             long expires,
             long latestBegin,
-            Inbox inbox,
-            Clock clock,
+            EventQueue inbox,
+            TickClock clock,
             ProxyMetrics figures) {
-        this.figures = figures;
-        this.client = client;
-        this.value = client.value;
+        this.metrics = figures;
+        this.exchange = client;
+        this.requestBody = client.requestBody;
         this.node = node;
-        this.number = number;
-        this.expires = expires;
-        this.inbox = inbox;
+        this.attemptNumber = number;
+        this.deadlineTicks = expires;
+        this.eventQueue = inbox;
         this.clock = clock;
-        sent = clock.now();
-        permission = client.permission.attempt(latestBegin);
+        startedAtTicks = clock.now();
+        sendPermit = client.sendPermit.forAttempt(latestBegin);
     }
 
     /**
@@ -112,14 +112,15 @@
         return stage.get() == Stage.WAITING;
     }
 
-    private void end(AttemptOutcome ending, byte[] body) {
+    private void completeOnce(AttemptOutcome ending, byte[] body) {
         if (stage.getAndSet(Stage.ENDED) != Stage.ENDED) {
-            over(ending, body);
+            postCompleted(ending, body);
         }
     }
 
-    private void over(AttemptOutcome ending, byte[] body) {
-        inbox.post(new Notice.PushOver(this, ending, note, body, clock.now()));
+    private void postCompleted(AttemptOutcome ending, byte[] body) {
+        eventQueue.post(
+                new ProxyEvent.AttemptCompleted(this, ending, storeNote, body, clock.now()));
     }
 
     @Override
@@ -128,34 +129,38 @@
         if (!isWaiting()) {
             throw new IOException("push given up");
         }
-        refuse(permission.refusal(clock.now()));
-        begins();
-        if (!stage.compareAndSet(Stage.WAITING, Stage.HANDED)) {
+        throwIfRejected(sendPermit.rejection(clock.now()));
+        startRequest();
+        if (!stage.compareAndSet(Stage.WAITING, Stage.SENDING)) {
             throw new IOException("push given up");
         }
-        BasicHttpRequest request = new BasicHttpRequest(client.method, client.target);
+        BasicHttpRequest request = new BasicHttpRequest(exchange.method, exchange.target);
         request.addHeader("Host", connection.address.getHostString());
-        request.addHeader(Exchange.ID, client.trace);
-        long left = Math.max(1, expires - clock.now());
-        request.addHeader(Exchange.TTL, left * (1000 / Clock.MILLI) + "u");
-        if (client.mark != null) {
-            request.addHeader(Exchange.MARK, client.mark);
+        request.addHeader(ClientExchange.TRACE_ID_HEADER, exchange.traceId);
+        long left = Math.max(1, deadlineTicks - clock.now());
+        request.addHeader(
+                ClientExchange.TTL_HEADER, left * (1000 / TickClock.TICKS_PER_MILLI) + "u");
+        if (exchange.idempotencyKey != null) {
+            request.addHeader(ClientExchange.IDEMPOTENCY_KEY_HEADER, exchange.idempotencyKey);
         }
-        if (client.pipe != null) {
+        if (exchange.requestPipe != null) {
             // Guards against two pushes that share out one body between them.
-            if (!client.pipe.claim()) {
-                end(AttemptOutcome.NOT_SENT, null);
+            if (!exchange.requestPipe.tryClaim()) {
+                completeOnce(AttemptOutcome.NOT_SENT, null);
                 throw new IOException("the body is on its way elsewhere");
             }
-            inbox.post(new Notice.Spent(this));
+            eventQueue.post(new ProxyEvent.RequestBodyClaimed(this));
         }
-        Body rest = client.pipe != null ? client.pipe : new RemainingBytes(value);
-        body(rest);
-        EntityDetails entity = rest.entity();
+        MessageBody rest =
+                exchange.requestPipe != null
+                        ? exchange.requestPipe
+                        : new ByteArrayBody(requestBody);
+        setBody(rest);
+        EntityDetails entity = rest.entityDetails();
         channel.sendRequest(request, entity, context);
         // Guards against a push with a body counted twice: by now its body may have been written.
         if (entity == null) {
-            written();
+            requestWritten();
         }
     }
 
@@ -166,49 +171,52 @@
     @Override
     public void produce(DataStreamChannel out) throws IOException {
         if (!isWritten()) {
-            refuse(permission.refusalOfRest(clock.now()));
+            throwIfRejected(sendPermit.rejectionOfLastByte(clock.now()));
         }
         super.produce(out);
     }
 
     /** Ends as never sent, which is proven: its last byte has not left, and the connection ends. */
-    private void refuse(AttemptRejection why) throws IOException {
+    private void throwIfRejected(AttemptRejection why) throws IOException {
         if (why != null) {
             if (isOpen()) {
-                figures.attemptRejected(why);
+                metrics.attemptRejected(why);
             }
-            end(AttemptOutcome.NOT_SENT, null);
+            completeOnce(AttemptOutcome.NOT_SENT, null);
             throw new IOException("attempt refused, " + why);
         }
     }
 
     @Override
-    void written() {
-        writtenAt = clock.now();
-        figures.attemptSent();
+    void requestWritten() {
+        writtenAtTicks = clock.now();
+        metrics.attemptSent();
     }
 
     /** The whole request has gone out, so that the connection can carry another. */
     boolean isWritten() {
-        return writtenAt > 0;
+        return writtenAtTicks > 0;
     }
 
     /**
      * How long the node took; what passes through counts from its last byte written or to its first
      * read.
      */
-    long took(long ended) {
-        long from = client.pipe == null ? sent : writtenAt > 0 ? writtenAt : ended;
-        return Math.max(0, (stream == null ? ended : headAt) - from);
+    long durationTicks(long ended) {
+        long from =
+                exchange.requestPipe == null
+                        ? startedAtTicks
+                        : writtenAtTicks > 0 ? writtenAtTicks : ended;
+        return Math.max(0, (responsePipe == null ? ended : headReceivedAtTicks) - from);
     }
 
     @Override
     public void consumeResponse(HttpResponse response, EntityDetails entity, HttpContext context) {
-        code = response.getCode();
+        statusCode = response.getCode();
         Header proof = response.getFirstHeader("X-Never-Ran");
         neverRan = proof != null && proof.getValue().equals("1");
         Header store = response.getFirstHeader("X-Store");
-        note =
+        storeNote =
                 store == null
                         ? 0
                         : switch (store.getValue()) {
@@ -217,69 +225,73 @@
                             case "pending" -> 3;
                             default -> 0;
                         };
-        answer = new Gathered(entity);
-        headAt = clock.now();
+        bufferedResponse = new BufferedBody(entity);
+        headReceivedAtTicks = clock.now();
         if (entity == null) {
             streamEnd(List.of());
-        } else if (code == OK && entity.getContentLength() > Gathered.MOST) {
-            stream(entity.getContentLength());
+        } else if (statusCode == OK && entity.getContentLength() > BufferedBody.MAX_BYTES) {
+            startStreaming(entity.getContentLength());
         }
-        untold = entity != null && entity.isChunked();
+        lengthUnknown = entity != null && entity.isChunked();
     }
 
     @Override
     public void consume(ByteBuffer src) throws IOException {
-        came += src.remaining();
-        if (came > Framing.LONGEST) {
+        receivedBytes += src.remaining();
+        if (receivedBytes > MessageFraming.MAX_BODY_BYTES) {
             throw new IOException("answer is too long");
-        } else if (code != OK) {
+        } else if (statusCode != OK) {
             src.position(src.limit()); // What says no more than its status is not kept.
             return;
         }
-        boolean late = untold && clock.now() - headAt >= SOON;
-        if (stream == null && (late || !answer.add(src))) {
-            stream(-1);
+        boolean late = lengthUnknown && clock.now() - headReceivedAtTicks >= STREAM_AFTER_TICKS;
+        if (responsePipe == null && (late || !bufferedResponse.tryAppend(src))) {
+            startStreaming(-1);
         }
-        if (stream != null) {
-            stream.give(src);
+        if (responsePipe != null) {
+            responsePipe.append(src);
         }
     }
 
     /** From now on the answer passes through, with what has been gathered of it ahead. */
-    private void stream(long length) {
-        stream = client.newPipe(length);
-        stream.give(ByteBuffer.wrap(answer.all()));
-        inbox.post(new Notice.Streams(this, stream));
+    private void startStreaming(long length) {
+        responsePipe = exchange.createPipe(length);
+        responsePipe.append(ByteBuffer.wrap(bufferedResponse.toByteArray()));
+        eventQueue.post(new ProxyEvent.ResponseStreamStarted(this, responsePipe));
     }
 
     @Override
-    long hungry() {
-        return stream != null && isOpen() && !stream.isHeldBack() ? came : -1;
+    long streamedBytesIfReadable() {
+        return responsePipe != null && isOpen() && !responsePipe.isBackpressured()
+                ? receivedBytes
+                : -1;
     }
 
     @Override
     public void updateCapacity(CapacityChannel capacity) throws IOException {
-        if (stream == null) {
+        if (responsePipe == null) {
             super.updateCapacity(capacity);
         } else {
-            stream.ask(capacity);
+            responsePipe.requestCapacity(capacity);
         }
     }
 
     @Override
     public void streamEnd(List<? extends Header> trailers) {
-        answered();
-        switch (code) {
+        completeResponse();
+        switch (statusCode) {
             case OK -> {
-                if (stream != null) {
-                    stream.end();
+                if (responsePipe != null) {
+                    responsePipe.finish();
                 }
-                end(AttemptOutcome.SUCCESS, stream == null ? answer.all() : null);
+                completeOnce(
+                        AttemptOutcome.SUCCESS,
+                        responsePipe == null ? bufferedResponse.toByteArray() : null);
             }
-            case 404 -> end(AttemptOutcome.CACHE_MISS, null);
+            case 404 -> completeOnce(AttemptOutcome.CACHE_MISS, null);
             default ->
-                    end(
-                            neverRan && (code == 503 || code == 504)
+                    completeOnce(
+                            neverRan && (statusCode == 503 || statusCode == 504)
                                     ? AttemptOutcome.OVERLOADED
                                     : AttemptOutcome.ERROR,
                             null);
@@ -288,18 +300,18 @@
 
     @Override
     public void failed(Exception cause) {
-        if (stream != null && isOpen()) {
+        if (responsePipe != null && isOpen()) {
             LOG.info("an answer that passed through broke off at the node: " + cause);
         }
         // Guards against a kept connection that the node has closed: not a byte of the push has
         // gone out.
-        if (connection.used && isWaiting()) {
-            inbox.post(new Notice.Unsent(this));
+        if (connection.reused && isWaiting()) {
+            eventQueue.post(new ProxyEvent.PooledConnectionFailed(this));
             return;
         }
         Stage before = stage.getAndSet(Stage.ENDED);
         if (before != Stage.ENDED) {
-            over(
+            postCompleted(
                     before == Stage.WAITING
                             ? AttemptOutcome.CONNECT_FAILED
                             : AttemptOutcome.CONNECTION_LOST,
--- a/src/main/java/cairnbridge/proxy/Connection.java
+++ b/src/main/java/cairnbridge/proxy/UpstreamConnection.java
@@ -17,74 +17,78 @@
 /**
  * One connection that the proxy opens, from the dial to its end; carries one exchange at a time.
  */
-final class Connection implements FutureCallback<IOSession> {
+final class UpstreamConnection implements FutureCallback<IOSession> {
     final InetSocketAddress address;
-    private final Sockets sockets;
-    private final Timeout silence;
-    private final AtomicBoolean ended = new AtomicBoolean();
-    private final Call first;
+    private final ConnectionReactor reactor;
+    private final Timeout socketTimeout;
+    private final AtomicBoolean closed = new AtomicBoolean();
+    private final UpstreamExchange firstExchange;
     private volatile IOSession session;
-    private volatile Future<IOSession> dial;
-    private volatile boolean unwanted;
+    private volatile Future<IOSession> pendingConnect;
+    private volatile boolean closeRequested;
 
     /** Reactor thread only: a request is out and its answer has not come to its end. */
-    private boolean asked;
+    private boolean awaitingResponse;
 
-    private Call latest;
+    private UpstreamExchange latestExchange;
 
     /** Owner thread only: whose it is, where it is pooled, and since when nothing is out on it. */
     NodeId node;
 
-    boolean used;
-    long idleSince;
+    boolean reused;
+    long idleSinceTicks;
 
     /**
      * first is sent as soon as the connection is up, and told of its failure where it never comes
      * up.
      */
-    Connection(InetSocketAddress address, Sockets sockets, Timeout silence, Call first) {
+    UpstreamConnection(
+            InetSocketAddress address,
+            ConnectionReactor sockets,
+            Timeout silence,
+            UpstreamExchange first) {
         this.address = address;
-        this.sockets = sockets;
-        this.silence = silence;
-        this.first = first;
+        this.reactor = sockets;
+        this.socketTimeout = silence;
+        this.firstExchange = first;
         first.connection = this;
     }
 
-    void dialed(Future<IOSession> future) {
-        dial = future;
+    void setPendingConnect(Future<IOSession> future) {
+        pendingConnect = future;
     }
 
     boolean isOpen() {
         IOSession up = session;
-        return !unwanted && up != null && up.isOpen();
+        return !closeRequested && up != null && up.isOpen();
     }
 
     /**
      * Guards against a connection that the node has closed, or on which it has said more than was
      * asked.
      */
-    void begins(Call call) throws IOException {
+    void startRequest(UpstreamExchange call) throws IOException {
         if (session.read(ByteBuffer.allocate(1)) != 0) {
             throw new IOException("connection is stale");
         }
-        asked = true;
-        latest = call;
+        awaitingResponse = true;
+        latestExchange = call;
     }
 
     /** The call whose answer is being read, or was last. */
-    Call latest() {
-        return latest;
+    UpstreamExchange latestExchange() {
+        return latestExchange;
     }
 
-    void answered() {
-        asked = false;
+    void completeResponse() {
+        awaitingResponse = false;
     }
 
-    boolean isAsked() {
-        return asked;
+    boolean isAwaitingResponse() {
+        return awaitingResponse;
     }
 
-    void send(Call call) {
+    void send(UpstreamExchange call) {
         call.connection = this;
         session.enqueue(
                 new RequestExecutionCommand(call, HttpCoreContext.create()),
@@ -93,9 +97,9 @@
 
     /** Closes at once; a dial still under way is given up. */
     void close() {
-        unwanted = true;
+        closeRequested = true;
         IOSession up = session;
-        Future<IOSession> dialing = dial;
+        Future<IOSession> dialing = pendingConnect;
         if (up != null) {
             up.close(CloseMode.IMMEDIATE);
         } else if (dialing != null) {
@@ -106,19 +110,19 @@
     @Override
     public void completed(IOSession up) {
         session = up;
-        up.setSocketTimeout(silence);
-        if (unwanted) {
-            first.failed(new IOException("no longer wanted"));
+        up.setSocketTimeout(socketTimeout);
+        if (closeRequested) {
+            firstExchange.failed(new IOException("no longer wanted"));
             up.close(CloseMode.IMMEDIATE);
         } else {
-            send(first);
+            send(firstExchange);
         }
     }
 
     @Override
     public void failed(Exception cause) {
-        ended();
-        first.failed(cause);
+        handleClosed();
+        firstExchange.failed(cause);
     }
 
     @Override
@@ -127,9 +131,9 @@
     }
 
     /** The socket is gone, whichever side closed it. */
-    void ended() {
-        if (ended.compareAndSet(false, true)) {
-            sockets.closed(this, session != null);
+    void handleClosed() {
+        if (closed.compareAndSet(false, true)) {
+            reactor.connectionClosed(this, session != null);
         }
     }
 }
--- a/src/main/java/cairnbridge/proxy/Call.java
+++ b/src/main/java/cairnbridge/proxy/UpstreamExchange.java
@@ -11,52 +11,52 @@
  * What all requests that the proxy sends have alike: one body at most, and an answer read as it
  * comes.
  */
-abstract class Call implements AsyncClientExchangeHandler {
-    private static final int WINDOW = Gathered.MOST;
-    private Body body = new RemainingBytes(null);
+abstract class UpstreamExchange implements AsyncClientExchangeHandler {
+    private static final int WINDOW_BYTES = BufferedBody.MAX_BYTES;
+    private MessageBody outgoingBody = new ByteArrayBody(null);
 
     /** Set before anything is sent on it; null as long as there is none. */
-    volatile Connection connection;
+    volatile UpstreamConnection connection;
 
     /** On the reactor, as its bytes go out: from now on an answer is waited for. */
-    void begins() throws IOException {
-        connection.begins(this);
+    void startRequest() throws IOException {
+        connection.startRequest(this);
     }
 
     /** On the reactor: the answer has come to its end. */
-    void answered() {
-        connection.answered();
+    void completeResponse() {
+        connection.completeResponse();
     }
 
-    void body(Body bytes) {
-        body = bytes;
+    void setBody(MessageBody bytes) {
+        outgoingBody = bytes;
     }
 
     @Override
     public int available() {
-        return body.left();
+        return outgoingBody.availableBytes();
     }
 
     @Override
     public void produce(DataStreamChannel out) throws IOException {
-        if (body.write(out)) {
-            written();
+        if (outgoingBody.writeTo(out)) {
+            requestWritten();
         }
     }
 
     /** How much has come of an answer that passes through and may come faster; else under 0. */
-    long hungry() {
+    long streamedBytesIfReadable() {
         return -1;
     }
 
     /** The request has been handed over to its last byte. */
-    void written() {
+    void requestWritten() {
         // Most need not know.
     }
 
     @Override
     public void updateCapacity(CapacityChannel capacity) throws IOException {
-        capacity.update(WINDOW);
+        capacity.update(WINDOW_BYTES);
     }
 
     @Override
--- a/src/main/java/cairnbridge/proxy/Push.java
+++ b/src/main/java/cairnbridge/proxy/UpstreamPool.java
@@ -16,33 +16,34 @@
  * Carries pushes to the nodes: the addresses, and a pool of kept connections for each. Owner thread
  * only.
  */
-final class Push {
+final class UpstreamPool {
     /**
      * A node closes an idle connection at its limit; ours goes before that, with this part of it
      * passed.
      */
-    private static final double IDLE_PART = 0.7;
+    private static final double IDLE_LIMIT_FACTOR = 0.7;
 
-    private static final double SWEEP_PART = 0.1;
+    private static final double SWEEP_FACTOR = 0.1;
 
-    private final Sockets sockets;
-    private final long dialTimeOut;
-    private final long idleLimit;
-    private final Map<NodeId, ArrayDeque<Connection>> idle = new HashMap<>();
+    private final ConnectionReactor reactor;
+    private final long connectTimeoutTicks;
+    private final long idleLimitTicks;
+    private final Map<NodeId, ArrayDeque<UpstreamConnection>> idleConnections = new HashMap<>();
     private final Map<NodeId, InetSocketAddress> addresses = new HashMap<>();
-    private final Set<NodeId> held = new HashSet<>();
+    private final Set<NodeId> nodesInMaintenance = new HashSet<>();
 
-    Push(Sockets sockets, long dialTimeOut, long idleLimit) {
-        this.sockets = sockets;
-        this.dialTimeOut = dialTimeOut;
-        this.idleLimit = (long) (idleLimit * IDLE_PART);
+    UpstreamPool(ConnectionReactor sockets, long dialTimeOut, long idleLimit) {
+        this.reactor = sockets;
+        this.connectTimeoutTicks = dialTimeOut;
+        this.idleLimitTicks = (long) (idleLimit * IDLE_LIMIT_FACTOR);
     }
 
     /**
      * Learns where the nodes are. Kept connections to a node that is no longer ready, or not named,
      * go.
      */
-    void listed(Event.EndpointListReceived roster, Map<NodeId, InetSocketAddress> fresh) {
+    void endpointListChanged(
+            Event.EndpointListReceived roster, Map<NodeId, InetSocketAddress> fresh) {
         // Guards against a list that has lost its contents: as in the module, what is held stays in
         // use.
         if (!fresh.isEmpty()
@@ -55,21 +56,22 @@
                 addresses.remove(entry.node());
             }
         }
-        dropUnnamed();
+        closeUnlisted();
     }
 
     /** To a node that is taken out no connection is opened, and none is kept. */
-    void hold(NodeId node, boolean on) {
+    void setMaintenance(NodeId node, boolean on) {
         if (on) {
-            held.add(node);
+            nodesInMaintenance.add(node);
         } else {
-            held.remove(node);
+            nodesInMaintenance.remove(node);
         }
-        dropUnnamed();
+        closeUnlisted();
     }
 
-    private void dropUnnamed() {
-        idle.entrySet()
+    private void closeUnlisted() {
+        idleConnections
+                .entrySet()
                 .removeIf(
                         each -> {
                             // Guards against a successor at the address of a node that is gone:
@@ -77,7 +79,7 @@
                             each.getValue()
                                     .removeIf(
                                             kept -> {
-                                                boolean goes = !isNamed(kept);
+                                                boolean goes = !isListed(kept);
                                                 if (goes) {
                                                     kept.close();
                                                 }
@@ -87,12 +89,12 @@
                         });
     }
 
-    private boolean isNamed(Connection connection) {
+    private boolean isListed(UpstreamConnection connection) {
         return connection.address.equals(addresses.get(connection.node))
-                && !held.contains(connection.node);
+                && !nodesInMaintenance.contains(connection.node);
     }
 
-    InetSocketAddress address(NodeId node) {
+    InetSocketAddress addressOf(NodeId node) {
         return addresses.get(node);
     }
 
@@ -100,65 +102,69 @@
      * Whether anything new may go to a node: the list names it as ready, and staff have not taken
      * it out.
      */
-    boolean takes(NodeId node) {
-        return addresses.containsKey(node) && !held.contains(node);
+    boolean isAvailable(NodeId node) {
+        return addresses.containsKey(node) && !nodesInMaintenance.contains(node);
     }
 
     /** Sends a push over a kept connection or a new one; false where there is none to be had. */
-    boolean start(PushCall call) {
-        if (!takes(call.node)) {
+    boolean trySend(UpstreamAttempt call) {
+        if (!isAvailable(call.node)) {
             return false;
         }
-        ArrayDeque<Connection> kept = idle.get(call.node);
+        ArrayDeque<UpstreamConnection> kept = idleConnections.get(call.node);
         // The one used last is the least likely to be closed by the node.
-        for (Connection c = kept == null ? null : kept.pollLast(); c != null; c = kept.pollLast()) {
+        for (UpstreamConnection c = kept == null ? null : kept.pollLast();
+                c != null;
+                c = kept.pollLast()) {
             if (c.isOpen()) {
-                c.used = true;
+                c.reused = true;
                 c.send(call);
                 return true;
             }
         }
         // Guards against idle clients that hold all but what is reserved for this: nothing of ours
         // can go.
-        if (sockets.isFull() && !closeOldest() && sockets.isSpent()) {
+        if (reactor.isUpstreamFull() && !closeOldestIdle() && reactor.isExhausted()) {
             return false;
         }
-        sockets.dial(addresses.get(call.node), dialTimeOut, call).node = call.node;
+        reactor.connect(addresses.get(call.node), connectTimeoutTicks, call).node = call.node;
         return true;
     }
 
     /** The push is over: its connection is kept if the exchange left it whole. */
-    void done(PushCall call, boolean whole, long now) {
-        Connection connection = call.connection;
+    void release(UpstreamAttempt call, boolean whole, long now) {
+        UpstreamConnection connection = call.connection;
         if (connection == null) {
             return;
         }
-        if (!whole || !call.isWritten() || !isNamed(connection)) {
+        if (!whole || !call.isWritten() || !isListed(connection)) {
             connection.close();
         } else if (connection.isOpen()) {
-            connection.idleSince = now;
-            idle.computeIfAbsent(connection.node, n -> new ArrayDeque<>()).addLast(connection);
+            connection.idleSinceTicks = now;
+            idleConnections
+                    .computeIfAbsent(connection.node, n -> new ArrayDeque<>())
+                    .addLast(connection);
         }
     }
 
-    void closed(Connection connection) {
-        ArrayDeque<Connection> kept = idle.get(connection.node);
+    void connectionClosed(UpstreamConnection connection) {
+        ArrayDeque<UpstreamConnection> kept = idleConnections.get(connection.node);
         if (kept != null && kept.remove(connection) && kept.isEmpty()) {
-            idle.remove(connection.node);
+            idleConnections.remove(connection.node);
         }
     }
 
     /** How often idle connections must be looked at, to be gone in time. */
-    long sweep() {
-        return Math.max(1, (long) (idleLimit * SWEEP_PART));
+    long sweepIntervalTicks() {
+        return Math.max(1, (long) (idleLimitTicks * SWEEP_FACTOR));
     }
 
     /**
      * Guards against a push written to a connection that the node is just closing: ours go first.
      */
-    void dropIdle(long now) {
-        for (ArrayDeque<Connection> kept : idle.values()) {
-            while (!kept.isEmpty() && now - kept.peekFirst().idleSince >= idleLimit) {
+    void closeExpired(long now) {
+        for (ArrayDeque<UpstreamConnection> kept : idleConnections.values()) {
+            while (!kept.isEmpty() && now - kept.peekFirst().idleSinceTicks >= idleLimitTicks) {
                 kept.pollFirst().close();
             }
         }
@@ -168,12 +174,13 @@
      * Of the kept connections the one idle longest makes room for another; false where none is
      * idle.
      */
-    boolean closeOldest() {
-        ArrayDeque<Connection> oldest = null;
-        for (ArrayDeque<Connection> kept : idle.values()) {
+    boolean closeOldestIdle() {
+        ArrayDeque<UpstreamConnection> oldest = null;
+        for (ArrayDeque<UpstreamConnection> kept : idleConnections.values()) {
             if (!kept.isEmpty()
                     && (oldest == null
-                            || kept.peekFirst().idleSince < oldest.peekFirst().idleSince)) {
+                            || kept.peekFirst().idleSinceTicks
+                                    < oldest.peekFirst().idleSinceTicks)) {
                 oldest = kept;
             }
         }
--- a/src/test/java/cairnbridge/proxy/AttemptTest.java
+++ b/src/test/java/cairnbridge/proxy/AttemptTest.java
@@ -33,10 +33,10 @@
  * thread does.
  */
 class AttemptTest {
-    private static final long LATEST = 50 * Clock.MILLI;
+    private static final long LATEST = 50 * TickClock.TICKS_PER_MILLI;
     private long now = 1;
-    private final Clock clock =
-            new Clock() {
+    private final TickClock clock =
+            new TickClock() {
                 @Override
                 long now() {
                     return now;
@@ -44,42 +44,47 @@
             };
 
     /** Nobody empties it: the owner is busy for as long as the test lasts. */
-    private final Inbox inbox = new Inbox(99);
+    private final EventQueue inbox = new EventQueue(99);
 
     private final ProxyMetrics figures = new ProxyMetrics(List.of("view"));
-    private Exchange client;
-    private PushCall attempt;
+    private ClientExchange client;
+    private UpstreamAttempt attempt;
     private boolean sent;
 
     @BeforeEach
     void decide() {
         client =
-                new Exchange(
-                        new Listen(clock, List.of("view"), figures), inbox, done -> {}, () -> {});
+                new ClientExchange(
+                        new ListenerState(clock, List.of("view"), figures),
+                        inbox,
+                        done -> {},
+                        () -> {});
         client.method = "PUT";
         client.target = "/view/1";
-        client.value = new byte[100];
-        attempt = new PushCall(client, new NodeId(1), 0, 2 * LATEST, LATEST, inbox, clock, figures);
+        client.requestBody = new byte[100];
+        attempt =
+                new UpstreamAttempt(
+                        client, new NodeId(1), 0, 2 * LATEST, LATEST, inbox, clock, figures);
     }
 
     private void happens(AttemptRejection what) {
         switch (what) {
             case CLIENT_GONE -> client.failed(new IOException("closed"));
-            case OP_OVER -> client.permission.revoke(AttemptRejection.OP_OVER);
-            case NODE_CLOSED -> attempt.permission.revoke(AttemptRejection.NODE_CLOSED);
+            case OP_OVER -> client.sendPermit.revoke(AttemptRejection.OP_OVER);
+            case NODE_CLOSED -> attempt.sendPermit.revoke(AttemptRejection.NODE_CLOSED);
             default -> now = LATEST;
         }
     }
 
     private AttemptOutcome ending() {
-        Notice notice = inbox.poll();
-        return notice instanceof Notice.PushOver over ? over.ending() : null;
+        ProxyEvent notice = inbox.poll();
+        return notice instanceof ProxyEvent.AttemptCompleted over ? over.outcome() : null;
     }
 
     @ParameterizedTest
     @EnumSource(AttemptRejection.class)
     void whatIsNoLongerAllowedDoesNotBeginAndProvablyNeverRan(AttemptRejection what) {
-        assertNull(attempt.permission.refusal(now));
+        assertNull(attempt.sendPermit.rejection(now));
         happens(what);
         assertThrows(
                 IOException.class,
@@ -99,8 +104,8 @@
     @EnumSource(AttemptRejection.class)
     void theLastByteOfABodyIsHeldBackTooButForANodeThatDrainsMeanwhile(AttemptRejection what)
             throws IOException {
-        Trickle out = new Trickle();
-        attempt.body(new RemainingBytes(client.value));
+        OneByteChannel out = new OneByteChannel();
+        attempt.setBody(new ByteArrayBody(client.requestBody));
         attempt.produce(out);
         assertFalse(attempt.isWritten());
         happens(what);
@@ -122,8 +127,8 @@
     @Test
     void aClientWhoseConnectionBreaksUnderTheHeadOfAnAnswerHasGone() throws Exception {
         BasicHttpRequest request = new BasicHttpRequest("GET", "/view/1");
-        request.addHeader(Exchange.ID, "9b1f");
-        request.addHeader(Exchange.TTL, "900m");
+        request.addHeader(ClientExchange.TRACE_ID_HEADER, "9b1f");
+        request.addHeader(ClientExchange.TTL_HEADER, "900m");
         AtomicBoolean ended = new AtomicBoolean();
         client.handleRequest(
                 request,
@@ -153,25 +158,26 @@
                     }
                 },
                 null);
-        assertFalse(client.hasGone());
-        client.stream(client.newPipe(-1));
-        assertTrue(client.hasGone() && ended.get());
+        assertFalse(client.hasClientDisconnected());
+        client.streamAnswer(client.createPipe(-1));
+        assertTrue(client.hasClientDisconnected() && ended.get());
     }
 
     @Test
     void theFirstCauseStaysAndTheLatestBeginIsTheFirstMomentTooLate() {
         now = LATEST - 1;
-        assertNull(attempt.permission.refusal(now));
-        attempt.permission.revoke(AttemptRejection.NODE_CLOSED);
-        attempt.permission.revoke(AttemptRejection.OP_OVER);
-        client.permission.revoke(AttemptRejection.CLIENT_GONE);
-        assertEquals(AttemptRejection.NODE_CLOSED, attempt.permission.refusal(now));
-        assertEquals(AttemptRejection.CLIENT_GONE, attempt.permission.refusalOfRest(now));
-        assertEquals(AttemptRejection.TOO_LATE, new Permission().attempt(LATEST).refusal(LATEST));
+        assertNull(attempt.sendPermit.rejection(now));
+        attempt.sendPermit.revoke(AttemptRejection.NODE_CLOSED);
+        attempt.sendPermit.revoke(AttemptRejection.OP_OVER);
+        client.sendPermit.revoke(AttemptRejection.CLIENT_GONE);
+        assertEquals(AttemptRejection.NODE_CLOSED, attempt.sendPermit.rejection(now));
+        assertEquals(AttemptRejection.CLIENT_GONE, attempt.sendPermit.rejectionOfLastByte(now));
+        assertEquals(
+                AttemptRejection.TOO_LATE, new SendPermit().forAttempt(LATEST).rejection(LATEST));
     }
 
     /** Takes forty bytes at a time, as a connection does whose other side is slow. */
-    private static final class Trickle implements DataStreamChannel {
+    private static final class OneByteChannel implements DataStreamChannel {
         int taken;
 
         @Override
--- a/src/test/java/cairnbridge/proxy/CrossingsTest.java
+++ b/src/test/java/cairnbridge/proxy/CrossingsTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Ends that cross something which is still owed, each forced by a latch or by held-back bytes. */
-class CrossingsTest extends Stories {
+class CrossingsTest extends ProxyTestSupport {
     /** A node whose connections do not come up until it takes what fills its queue. */
     private final class Late implements AutoCloseable {
         final ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
@@ -67,22 +67,22 @@
      * come.
      */
     private Late waiting(Socket[] client, CountDownLatch change, String state) throws Exception {
-        dialSeconds = 5;
+        connectSeconds = 5;
         Late late = new Late();
-        cache = new StandIn(request -> HIT);
-        origin = new StandIn(request -> "200 OK||fetched");
+        cache = new StandInServer(request -> HIT);
+        origin = new StandInServer(request -> "200 OK||fetched");
         String told =
-                list(
+                endpointListJson(
                                 2,
                                 false,
-                                target("late", late.address(), "cache", state),
-                                target("c", cache.address(), "cache", "Ready"))
+                                endpointJson("late", late.address(), "cache", state),
+                                endpointJson("c", cache.address(), "cache", "Ready"))
                         + "\n";
         discovery =
-                new StandIn(request -> "") {
+                new StandInServer(request -> "") {
                     @Override
                     Void serve(Socket socket) throws IOException, InterruptedException {
-                        seen.add(message(socket));
+                        requests.add(readMessage(socket));
                         OutputStream out = socket.getOutputStream();
                         out.write(
                                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes());
@@ -92,21 +92,22 @@
                         out.write(
                                 (Integer.toHexString(told.length()) + "\r\n" + told + "\r\n")
                                         .getBytes());
-                        message(socket); // Until the other side ends it.
+                        readMessage(socket); // Until the other side ends it.
                         return null;
                     }
                 };
         proxy =
-                serve(
-                        list(
+                startServer(
+                        endpointListJson(
                                 1,
                                 true,
-                                target("late", late.address(), "cache", "Ready"),
-                                target("o", origin.address(), "origin", "Ready")));
-        int held = proxy.held();
-        client[0] = client();
-        send(client[0], "GET /view/1", ttl(4000), ""); // Less than the dial may take.
-        until(() -> proxy.held() >= held + 2); // The client's, and the dial under way.
+                                endpointJson("late", late.address(), "cache", "Ready"),
+                                endpointJson("o", origin.address(), "origin", "Ready")));
+        int held = proxy.openDescriptors();
+        client[0] = connectClient();
+        send(client[0], "GET /view/1", ttlHeader(4000), ""); // Less than the dial may take.
+        waitUntil(
+                () -> proxy.openDescriptors() >= held + 2); // The client's, and the dial under way.
         return late;
     }
 
@@ -122,8 +123,8 @@
         CountDownLatch change = new CountDownLatch(1);
         Late late = waiting(client, change, state);
         change.countDown();
-        assertEquals(200, code(message(client[0])), "another node takes it at once");
-        assertEquals(1, cache.seen.size());
+        assertEquals(200, statusCode(readMessage(client[0])), "another node takes it at once");
+        assertEquals(1, cache.requests.size());
         assertEquals(-1, late.firstByte());
     }
 
@@ -167,11 +168,11 @@
         "reset, 600000"
     })
     void aClientsEndIsSeenThoughBytesLieBeforeIt(String end, int junk) throws Exception {
-        cacheDoes = request -> SILENT;
+        cacheHandler = request -> SILENT;
         start();
-        Socket leaving = client();
-        send(leaving, "GET /view/1", ttl(60_000), "");
-        until(() -> cache.seen.size() == 1);
+        Socket leaving = connectClient();
+        send(leaving, "GET /view/1", ttlHeader(60_000), "");
+        waitUntil(() -> cache.requests.size() == 1);
         leaving.getOutputStream()
                 .write(
                         "GET /view/2 HTTP/1.1\r\n"
@@ -179,33 +180,33 @@
                                 .substring(0, junk)
                                 .getBytes(StandardCharsets.ISO_8859_1));
         leave(leaving, end);
-        until(() -> cache.ended.get() == 1);
+        waitUntil(() -> cache.endedConnections.get() == 1);
     }
 
     @Test
     void aClientsEndIsSeenWhileAnAnswerPassesThrough() throws Exception {
-        cacheDoes = request -> "HTTP/1.1 200 OK;Content-Length: 9000000;;" + "x".repeat(100_000);
+        cacheHandler = request -> "HTTP/1.1 200 OK;Content-Length: 9000000;;" + "x".repeat(100_000);
         start();
-        Socket leaving = client();
-        send(leaving, "GET /view/1", ttl(60_000), "");
+        Socket leaving = connectClient();
+        send(leaving, "GET /view/1", ttlHeader(60_000), "");
         assertEquals('H', leaving.getInputStream().read());
         leave(leaving, "close");
-        until(() -> cache.ended.get() == 1);
+        waitUntil(() -> cache.endedConnections.get() == 1);
     }
 
     /** Guards against a reset, for unread bytes, that takes the last answer with it. */
     @Test
     void theLastAnswerComesWholeAndWithoutAResetThoughItsClientHasSaidMore() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        cacheDoes =
+        cacheHandler =
                 request -> {
                     answer.await();
                     return HIT;
                 };
         start();
-        Socket rude = client();
-        send(rude, "GET /view/1", ttl(9000), "");
-        until(() -> cache.seen.size() == 1);
+        Socket rude = connectClient();
+        send(rude, "GET /view/1", ttlHeader(9000), "");
+        waitUntil(() -> cache.requests.size() == 1);
         daemon(
                 () -> {
                     byte[] more =
@@ -218,10 +219,10 @@
                     }
                     return null;
                 });
-        assertEquals("kept", body(message(rude)));
-        assertEquals(400, code(message(rude)));
+        assertEquals("kept", bodyOf(readMessage(rude)));
+        assertEquals(400, statusCode(readMessage(rude)));
         assertEquals(-1, rude.getInputStream().read(), "ended, not reset");
-        assertEquals(1, cache.seen.size());
+        assertEquals(1, cache.requests.size());
     }
 
     /**
@@ -231,11 +232,11 @@
     @Test
     void whatWasTakenBeforeAPlannedEndIsAnsweredWithinItHoweverLongItsClientWouldWait()
             throws Exception {
-        cacheDoes = request -> SILENT;
+        cacheHandler = request -> SILENT;
         start();
-        Socket patient = client();
-        send(patient, "GET /view/1", ttl(60_000), "");
-        until(() -> cache.seen.size() == 1);
+        Socket patient = connectClient();
+        send(patient, "GET /view/1", ttlHeader(60_000), "");
+        waitUntil(() -> cache.requests.size() == 1);
         long told = System.nanoTime();
         Thread drain =
                 daemon(
@@ -243,10 +244,10 @@
                             proxy.drain();
                             return null;
                         });
-        String answer = message(patient);
+        String answer = readMessage(patient);
         long millis = (System.nanoTime() - told) / 1_000_000;
         assertNotNull(answer);
-        assertEquals(503, code(answer));
+        assertEquals(503, statusCode(answer));
         assertTrue(millis <= TimeBudget.shutdownEndMillis(1000), "answered after " + millis);
         drain.join();
     }
@@ -258,20 +259,20 @@
     @ParameterizedTest
     @ValueSource(strings = {"", "TERM", "HUP", "HUP TERM HUP"})
     void signalsDuringAPlannedEndChangeNothingOfIt(String more) throws Exception {
-        cacheDoes = request -> SILENT;
+        cacheHandler = request -> SILENT;
         start();
-        Process process = process();
-        int port = port(log(process));
+        Process process = startProcess();
+        int port = portFromLog(logOf(process));
         Socket client = new Socket(InetAddress.getLoopbackAddress(), port);
         opened.add(client);
-        send(client, "GET /view/1", ttl(60_000), "");
-        until(() -> cache.seen.size() == 1);
-        signal(process, "TERM");
+        send(client, "GET /view/1", ttlHeader(60_000), "");
+        waitUntil(() -> cache.requests.size() == 1);
+        sendSignal(process, "TERM");
         long told = System.nanoTime();
         for (String each : more.isEmpty() ? new String[0] : more.split(" ")) {
-            signal(process, each);
+            sendSignal(process, each);
         }
-        assertEquals(503, code(message(client)));
+        assertEquals(503, statusCode(readMessage(client)));
         long millis = (System.nanoTime() - told) / 1_000_000;
         assertTrue(millis <= 1000 + TimeBudget.KILL_MARGIN_MILLIS, "answered after " + millis);
         assertEquals(-1, client.getInputStream().read(), "ended, not reset");
@@ -282,9 +283,9 @@
     @Test
     void aProxyToldToEndBeforeItHasStartedEndsByItself() throws Exception {
         start();
-        Process process = process();
-        until(() -> discovery.seen.size() >= 2); // It calls for its list, and warms up.
-        signal(process, "TERM");
+        Process process = startProcess();
+        waitUntil(() -> discovery.requests.size() >= 2); // It calls for its list, and warms up.
+        sendSignal(process, "TERM");
         process.waitFor();
     }
 
@@ -299,12 +300,12 @@
             })
     void anAnswerThatIsResetOnItsWayIsNoAnswer(String head) throws Exception {
         start();
-        StandIn cut =
-                new StandIn(request -> HIT) {
+        StandInServer cut =
+                new StandInServer(request -> HIT) {
                     @Override
                     Void serve(Socket socket) throws IOException {
-                        String request = message(socket);
-                        seen.add(request);
+                        String request = readMessage(socket);
+                        requests.add(request);
                         socket.getOutputStream()
                                 .write(("HTTP/1.1 200 OK;" + head).replace(";", "\r\n").getBytes());
                         socket.setSoLinger(true, 0);
@@ -313,16 +314,19 @@
                     }
                 };
         proxy =
-                serve(
-                        list(
+                startServer(
+                        endpointListJson(
                                 1,
                                 true,
-                                target("cut", cut.address(), "cache", "Ready"),
-                                target("o", cut.address(), "origin", "Ready")));
-        assertEquals(502, code(ask("PUT /loan/1", ttl(900), "v")), "it may have run: no nack");
-        assertEquals(1, cut.seen.size());
-        String read1 = ask("GET /view/1", ttl(900), "");
-        assertTrue(code(read1) != 200, read1);
+                                endpointJson("cut", cut.address(), "cache", "Ready"),
+                                endpointJson("o", cut.address(), "origin", "Ready")));
+        assertEquals(
+                502,
+                statusCode(sendRequest("PUT /loan/1", ttlHeader(900), "v")),
+                "it may have run: no nack");
+        assertEquals(1, cut.requests.size());
+        String read1 = sendRequest("GET /view/1", ttlHeader(900), "");
+        assertTrue(statusCode(read1) != 200, read1);
     }
 
     /**
@@ -332,18 +336,18 @@
     @Test
     void aRequestThatCrossesAPlannedCloseIsNotSentOnAndItsConnectionEndsPlainly() throws Exception {
         start();
-        Socket resting = client();
-        send(resting, "GET /view/1", ttl(900), "");
-        assertEquals(200, code(message(resting)));
+        Socket resting = connectClient();
+        send(resting, "GET /view/1", ttlHeader(900), "");
+        assertEquals(200, statusCode(readMessage(resting)));
         proxy.finishClients();
         assertEquals(-1, resting.getInputStream().read());
         // Our side has ended, its socket has not: what comes now has crossed the close.
-        send(resting, "GET /view/crossed", ttl(900), "");
+        send(resting, "GET /view/crossed", ttlHeader(900), "");
         resting.getOutputStream().write(new byte[20_000]);
         assertEquals(-1, resting.getInputStream().read());
-        int held = proxy.held();
+        int held = proxy.openDescriptors();
         resting.close();
-        until(() -> proxy.held() < held);
-        assertEquals(1, cache.seen.size());
+        waitUntil(() -> proxy.openDescriptors() < held);
+        assertEquals(1, cache.requests.size());
     }
 }
