--- a/src/test/java/cairnbridge/proxy/DiscoveryTest.java
+++ b/src/test/java/cairnbridge/proxy/DiscoveryTest.java
@@ -26,7 +26,7 @@
  * A change is in hand within the time in which it counts as told, whatever became of the calls
  * before.
  */
-class DiscoveryTest extends Stories {
+class DiscoveryTest extends ProxyTestSupport {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
     private static String chunk(String text) {
@@ -38,14 +38,14 @@
         void take(Socket socket, OutputStream out) throws IOException, InterruptedException;
     }
 
-    private StandIn discovery(Turn... turns) throws IOException {
+    private StandInServer discovery(Turn... turns) throws IOException {
         AtomicInteger calls = new AtomicInteger();
-        return new StandIn(request -> "") {
+        return new StandInServer(request -> "") {
             @Override
             Void serve(Socket socket) throws IOException, InterruptedException {
-                String request = message(socket);
+                String request = readMessage(socket);
                 if (request != null) {
-                    seen.add(request);
+                    requests.add(request);
                     turns[Math.min(calls.getAndIncrement(), turns.length - 1)].take(
                             socket, socket.getOutputStream());
                 }
@@ -55,7 +55,7 @@
     }
 
     private static void hang(Socket socket, OutputStream out) throws IOException {
-        message(socket); // Until the other side ends it.
+        readMessage(socket); // Until the other side ends it.
     }
 
     private static void reset(Socket socket, OutputStream out) throws IOException {
@@ -63,20 +63,27 @@
         socket.close();
     }
 
-    private void startWith(StandIn at) throws Exception {
-        cache = new StandIn(request -> HIT);
-        origin = new StandIn(request -> "200 OK||fetched");
+    private void startWith(StandInServer at) throws Exception {
+        cache = new StandInServer(request -> HIT);
+        origin = new StandInServer(request -> "200 OK||fetched");
         discovery = at;
-        proxy = serve(list(1, true, target("o", origin.address(), "origin", "Ready")));
+        proxy =
+                startServer(
+                        endpointListJson(
+                                1, true, endpointJson("o", origin.address(), "origin", "Ready")));
     }
 
     /** A list that names the cache; it is in use once a read is answered by that. */
     private String change(int version) {
-        return list(version, false, target("c", cache.address(), "cache", "Ready"));
+        return endpointListJson(
+                version, false, endpointJson("c", cache.address(), "cache", "Ready"));
     }
 
     private void untilInUse() throws IOException, InterruptedException {
-        until(() -> code(ask("GET /view/1", ttl(300), "")) == 200 && !cache.seen.isEmpty());
+        waitUntil(
+                () ->
+                        statusCode(sendRequest("GET /view/1", ttlHeader(300), "")) == 200
+                                && !cache.requests.isEmpty());
     }
 
     private void tell(OutputStream out, String text) throws IOException {
@@ -89,19 +96,20 @@
      */
     @Test
     void aStartingProxySendsNothingByItsOldListWhileDiscoverysIsOnItsWay() throws Exception {
-        StandIn gone = new StandIn(request -> HIT);
+        StandInServer gone = new StandInServer(request -> HIT);
         AtomicInteger tries = new AtomicInteger();
         startWith(
                 discovery(
                         (socket, out) -> {
-                            until(() -> tries.get() >= 30); // Clients come all the while.
+                            waitUntil(() -> tries.get() >= 30); // Clients come all the while.
                             tell(
                                     out,
-                                    list(
+                                    endpointListJson(
                                                     2,
                                                     false,
-                                                    target("c", cache.address(), "cache", "Ready"),
-                                                    target(
+                                                    endpointJson(
+                                                            "c", cache.address(), "cache", "Ready"),
+                                                    endpointJson(
                                                             "gone",
                                                             gone.address(),
                                                             "cache",
@@ -122,15 +130,15 @@
                             return null;
                         });
         proxy =
-                serve(
-                        list(
+                startServer(
+                        endpointListJson(
                                 1,
                                 true,
-                                target("gone", gone.address(), "cache", "Ready"),
-                                target("o", origin.address(), "origin", "Ready")));
+                                endpointJson("gone", gone.address(), "cache", "Ready"),
+                                endpointJson("o", origin.address(), "origin", "Ready")));
         clients.join();
-        assertEquals(List.of(), gone.seen);
-        assertEquals(1, cache.seen.size());
+        assertEquals(List.of(), gone.requests);
+        assertEquals(1, cache.requests.size());
     }
 
     /** Calls fail in every way, the wait has grown, and the last hangs as discovery comes back. */
@@ -213,7 +221,7 @@
                                                     .replace(
                                                             "]}",
                                                             ","
-                                                                    + target(
+                                                                    + endpointJson(
                                                                             "o",
                                                                             origin.address(),
                                                                             "origin",
@@ -223,7 +231,7 @@
                             hang(socket, out);
                         }));
         untilInUse();
-        assertFalse(discovery.seen.get(1).contains("after="), discovery.seen.get(1));
+        assertFalse(discovery.requests.get(1).contains("after="), discovery.requests.get(1));
     }
 
     /**
@@ -245,7 +253,7 @@
                             hang(socket, out);
                         }));
         untilInUse();
-        assertEquals(1, discovery.seen.size());
+        assertEquals(1, discovery.requests.size());
     }
 
     /** Guards against half a line taken for a line, and one that is told only behind it. */
@@ -264,13 +272,13 @@
                             hang(socket, out);
                         }));
         untilInUse();
-        assertTrue(discovery.seen.get(1).contains("after=1 "), discovery.seen.get(1));
+        assertTrue(discovery.requests.get(1).contains("after=1 "), discovery.requests.get(1));
     }
 
     /** Where the list must be asked for, the module asks again in time as well. */
     @Test
     void aListThatMustBeAskedForIsInHandInTimeToo() throws Exception {
-        shape = "\"registry-mode\":\"subscribe\",\"rules\":{\"ask-within-s\":60},";
+        extraSettings = "\"registry-mode\":\"subscribe\",\"rules\":{\"ask-within-s\":60},";
         AtomicLong back = new AtomicLong();
         Turn failing = DiscoveryTest::reset;
         startWith(
@@ -299,7 +307,7 @@
      */
     @Test
     void idleClientsThatFillTheDescriptorsDoNotKeepTheListAway() throws Exception {
-        sockets = 96;
+        maxSockets = 96;
         CountDownLatch up = new CountDownLatch(1);
         AtomicLong told = new AtomicLong();
         startWith(
@@ -315,18 +323,18 @@
                         }));
         proxy.stop();
         config(
-                list(
+                endpointListJson(
                         1,
                         true,
-                        target("c", cache.address(), "cache", "Ready"),
-                        target("o", origin.address(), "origin", "Ready")),
+                        endpointJson("c", cache.address(), "cache", "Ready"),
+                        endpointJson("o", origin.address(), "origin", "Ready")),
                 discovery.address());
         String classes = System.getProperty("java.class.path");
         // The program is one file; here each of its libraries is one, and is held open.
-        long limit = sockets + classes.split(File.pathSeparator).length;
-        Process process = processAfter("ulimit -n " + limit);
-        BufferedReader log = log(process);
-        int port = port(log);
+        long limit = maxSockets + classes.split(File.pathSeparator).length;
+        Process process = startProcessAfter("ulimit -n " + limit);
+        BufferedReader log = logOf(process);
+        int port = portFromLog(log);
         daemon(
                 () -> {
                     while (log.readLine() != null) {
@@ -358,12 +366,12 @@
                                 }
                             }
                         });
-        until(() -> idle.size() >= 150);
-        int calls = discovery.seen.size();
-        until(() -> discovery.seen.size() >= calls + 3);
+        waitUntil(() -> idle.size() >= 150);
+        int calls = discovery.requests.size();
+        waitUntil(() -> discovery.requests.size() >= calls + 3);
         long back = System.nanoTime();
         up.countDown();
-        until(() -> told.get() > 0);
+        waitUntil(() -> told.get() > 0);
         long millis = (told.get() - back) / 1_000_000;
         assertTrue(millis <= TimeBudget.NOTIFIED_MILLIS, "the watch is back after " + millis);
         int code = 0;
@@ -371,7 +379,7 @@
             code = oneRead(port);
         }
         assertEquals(200, code, "what is taken finds a descriptor for its node");
-        assertEquals(1, cache.seen.size());
+        assertEquals(1, cache.requests.size());
         assertTrue(crowd.isAlive(), "the crowd has stayed");
     }
 
@@ -379,9 +387,9 @@
     private int oneRead(int port) throws IOException {
         try (Socket client = new Socket(InetAddress.getLoopbackAddress(), port)) {
             client.setSoTimeout(500);
-            send(client, "GET /view/1", ttl(300), "");
-            String answer = message(client);
-            return answer == null ? 0 : code(answer);
+            send(client, "GET /view/1", ttlHeader(300), "");
+            String answer = readMessage(client);
+            return answer == null ? 0 : statusCode(answer);
         } catch (IOException e) {
             return 0;
         }
--- a/src/test/java/cairnbridge/proxy/OperatorsTest.java
+++ b/src/test/java/cairnbridge/proxy/OperatorsTest.java
@@ -29,20 +29,20 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What staff call and what the proxy then does, on real sockets. */
-class OperatorsTest extends Stories {
+class OperatorsTest extends ProxyTestSupport {
     @BeforeEach
     void openADoor() {
-        more = "\"admin_addr\":\"127.0.0.1:0\",";
+        extraConfig = "\"admin_addr\":\"127.0.0.1:0\",";
     }
 
-    private Socket caller(Serve at) throws IOException {
-        InetSocketAddress door = at.door();
+    private Socket caller(ProxyServer at) throws IOException {
+        InetSocketAddress door = at.adminAddress();
         Socket caller = new Socket(door.getAddress(), door.getPort());
         opened.add(caller);
         return caller;
     }
 
-    private String call(Serve at, String line) throws IOException {
+    private String call(ProxyServer at, String line) throws IOException {
         Socket caller = caller(at);
         caller.getOutputStream().write((line + "\n").getBytes(StandardCharsets.ISO_8859_1));
         return new String(caller.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
@@ -58,9 +58,9 @@
 
     @Test
     void withoutAnAddressThereIsNoDoor() throws Exception {
-        more = "";
+        extraConfig = "";
         start();
-        assertNull(proxy.door());
+        assertNull(proxy.adminAddress());
     }
 
     @ParameterizedTest
@@ -92,10 +92,12 @@
         Files.move(folder, away);
         assertEquals("400 cannot be kept, nothing has changed\n", call("maint-on c"));
         Files.move(away, folder);
-        assertEquals(200, code(ask("GET /view/1", ttl(800), "")));
+        assertEquals(200, statusCode(sendRequest("GET /view/1", ttlHeader(800), "")));
         assertTrue(says("hosts_down:0|g"));
         IOException taken =
-                assertThrows(IOException.class, () -> new AdminServer(proxy.door(), proxy, null));
+                assertThrows(
+                        IOException.class,
+                        () -> new AdminServer(proxy.adminAddress(), proxy, null));
         assertTrue(taken.getMessage().startsWith("cannot listen on "), taken.getMessage());
     }
 
@@ -106,9 +108,9 @@
         Files.writeString(folder.resolve("hold-whom"), "c");
         Files.writeString(folder.resolve("ready-99999999999999999-1"), "");
         start();
-        assertEquals(503, code(ask("GET /view/1", ttl(800), "")));
+        assertEquals(503, statusCode(sendRequest("GET /view/1", ttlHeader(800), "")));
         assertTrue(call("maint-off c").startsWith("200"));
-        assertEquals(200, code(ask("GET /view/1", ttl(800), "")));
+        assertEquals(200, statusCode(sendRequest("GET /view/1", ttlHeader(800), "")));
     }
 
     @Test
@@ -125,27 +127,27 @@
     @Test
     void theFiguresCountEachOpAndPushOnceAndNothingOfTheRehearsal() throws Exception {
         CountDownLatch late = new CountDownLatch(1);
-        cacheDoes =
+        cacheHandler =
                 request -> {
                     if (request.contains("/slow")) {
                         late.await();
                     }
                     return request.contains("/absent") ? MISS : HIT;
                 };
-        originDoes = request -> request.startsWith("PUT") ? "500 Ill||" : "200 OK||fetched";
+        originHandler = request -> request.startsWith("PUT") ? "500 Ill||" : "200 OK||fetched";
         start();
         assertTrue(says("backend_calls:0|c") && says("inflight:0|g"));
-        assertEquals(200, code(ask("GET /view/1", ttl(800), "")));
-        assertEquals(200, code(ask("GET /view/absent", ttl(800), "")));
-        assertEquals(502, code(ask("PUT /loan/1", ttl(800), "v")));
-        assertEquals(400, code(ask("GET /view/1", "", "")));
-        Socket slow = client();
-        send(slow, "GET /view/slow", ttl(5000), "");
-        until(() -> says("backend_calls:5|c"));
+        assertEquals(200, statusCode(sendRequest("GET /view/1", ttlHeader(800), "")));
+        assertEquals(200, statusCode(sendRequest("GET /view/absent", ttlHeader(800), "")));
+        assertEquals(502, statusCode(sendRequest("PUT /loan/1", ttlHeader(800), "v")));
+        assertEquals(400, statusCode(sendRequest("GET /view/1", "", "")));
+        Socket slow = connectClient();
+        send(slow, "GET /view/slow", ttlHeader(5000), "");
+        waitUntil(() -> says("backend_calls:5|c"));
         assertTrue(says("inflight:1|g"));
         late.countDown();
-        assertEquals(200, code(message(slow)));
-        until(() -> says("inflight:0|g"));
+        assertEquals(200, statusCode(readMessage(slow)));
+        waitUntil(() -> says("inflight:0|g"));
         String stats = call("stats");
         assertEquals(
                 """
@@ -171,31 +173,32 @@
     @Test
     void aNodeTakenOutGetsNothingWhateverTheListSaysUntilItIsPutBack() throws Exception {
         CountDownLatch change = new CountDownLatch(1);
-        StandIn out = new StandIn(request -> HIT);
-        discoveryDoes =
+        StandInServer out = new StandInServer(request -> HIT);
+        discoveryHandler =
                 request -> {
                     change.await();
                     return "200 OK||"
-                            + list(2, false, target("out", out.address(), "cache", "Ready"))
+                            + endpointListJson(
+                                    2, false, endpointJson("out", out.address(), "cache", "Ready"))
                             + "\n";
                 };
-        start(target("out", out.address(), "cache", "Ready"));
-        for (int key = 0; out.seen.isEmpty(); key++) {
-            assertEquals(200, code(ask("GET /view/" + key, ttl(800), "")));
+        start(endpointJson("out", out.address(), "cache", "Ready"));
+        for (int key = 0; out.requests.isEmpty(); key++) {
+            assertEquals(200, statusCode(sendRequest("GET /view/" + key, ttlHeader(800), "")));
         }
         assertTrue(
                 call("maint-on out").startsWith("200") && call("maint-on out").startsWith("200"));
-        until(() -> out.ended.get() == out.connections.size());
-        until(() -> says("hosts_down:1|g"));
-        out.seen.clear();
+        waitUntil(() -> out.endedConnections.get() == out.connections.size());
+        waitUntil(() -> says("hosts_down:1|g"));
+        out.requests.clear();
         change.countDown();
         for (int key = 0; key < 40; key++) {
-            assertEquals(200, code(ask("GET /view/" + key, ttl(800), "")));
+            assertEquals(200, statusCode(sendRequest("GET /view/" + key, ttlHeader(800), "")));
         }
-        assertTrue(out.seen.isEmpty());
+        assertTrue(out.requests.isEmpty());
         assertTrue(call("maint-off out").startsWith("200"));
-        for (int key = 0; out.seen.isEmpty(); key++) {
-            assertEquals(200, code(ask("GET /view/" + key, ttl(800), "")));
+        for (int key = 0; out.requests.isEmpty(); key++) {
+            assertEquals(200, statusCode(sendRequest("GET /view/" + key, ttlHeader(800), "")));
         }
     }
 
@@ -205,42 +208,43 @@
      */
     @Test
     void aHoldThatComesBeforeAnyListIsTaken() throws Exception {
-        cache = new StandIn(request -> cacheDoes.apply(request));
-        origin = new StandIn(request -> originDoes.apply(request));
-        discovery = new StandIn(request -> discoveryDoes.apply(request));
+        cache = new StandInServer(request -> cacheHandler.apply(request));
+        origin = new StandInServer(request -> originHandler.apply(request));
+        discovery = new StandInServer(request -> discoveryHandler.apply(request));
         CountDownLatch change = new CountDownLatch(1);
-        discoveryDoes =
+        discoveryHandler =
                 request -> {
                     change.await();
                     return "200 OK||"
-                            + list(2, true, target("c", cache.address(), "cache", "Ready"))
+                            + endpointListJson(
+                                    2, true, endpointJson("c", cache.address(), "cache", "Ready"))
                             + "\n";
                 };
-        proxy = serve(list(1, true));
+        proxy = startServer(endpointListJson(1, true));
         assertTrue(call("maint-on c").startsWith("200"));
         change.countDown();
-        until(() -> says("hosts_listed:1|g"));
-        assertEquals(503, code(ask("GET /view/1", ttl(800), "")));
-        assertTrue(cache.seen.isEmpty());
+        waitUntil(() -> says("hosts_listed:1|g"));
+        assertEquals(503, statusCode(sendRequest("GET /view/1", ttlHeader(800), "")));
+        assertTrue(cache.requests.isEmpty());
     }
 
     @Test
     void aHoldOutlivesTheProcessAndReachesAnotherThatRuns() throws Exception {
-        StandIn out = new StandIn(request -> HIT);
-        start(target("out", out.address(), "cache", "Ready"));
+        StandInServer out = new StandInServer(request -> HIT);
+        start(endpointJson("out", out.address(), "cache", "Ready"));
         assertTrue(call("maint-on out").startsWith("200"));
         proxy.stop();
         String known =
-                list(
+                endpointListJson(
                         1,
                         true,
-                        target("out", out.address(), "cache", "Ready"),
-                        target("o", origin.address(), "origin", "Ready"));
-        proxy = serve(known);
-        assertEquals(503, code(ask("GET /view/1", ttl(800), "")));
-        Serve younger = serve(known);
+                        endpointJson("out", out.address(), "cache", "Ready"),
+                        endpointJson("o", origin.address(), "origin", "Ready"));
+        proxy = startServer(known);
+        assertEquals(503, statusCode(sendRequest("GET /view/1", ttlHeader(800), "")));
+        ProxyServer younger = startServer(known);
         assertTrue(call(younger, "maint-off out").startsWith("200"));
-        until(() -> code(ask("GET /view/1", ttl(800), "")) == 200);
+        waitUntil(() -> statusCode(sendRequest("GET /view/1", ttlHeader(800), "")) == 200);
         try (var files = Files.list(folder)) {
             assertEquals(
                     List.of(),
@@ -256,14 +260,14 @@
      */
     @Test
     void aProcessThatServesKeepsWhatItHasLearntForTheNextBesideIt() throws Exception {
-        originDoes = request -> "500 Ill||";
-        cacheDoes = request -> "500 Ill||";
+        originHandler = request -> "500 Ill||";
+        cacheHandler = request -> "500 Ill||";
         start();
         for (int i = 0; i < 20; i++) {
-            ask("GET /view/" + i, ttl(800), "");
+            sendRequest("GET /view/" + i, ttlHeader(800), "");
         }
         Path kept = folder.resolve("learnt");
-        until(
+        waitUntil(
                 () ->
                         Files.exists(kept)
                                 && Files.readString(kept).matches(".*\"share\":0\\.[0-3].*"));
@@ -275,11 +279,11 @@
     void anAddressThatIsTakenEndsTheStartWithOneLine(boolean door) throws Exception {
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = door ? 0 : taken.getLocalPort();
-            more = "\"admin_addr\":\"127.0.0.1:" + (door ? taken.getLocalPort() : 0) + "\",";
-            config(list(1, true), "127.0.0.1:9");
-            Process process = process();
+            extraConfig = "\"admin_addr\":\"127.0.0.1:" + (door ? taken.getLocalPort() : 0) + "\",";
+            config(endpointListJson(1, true), "127.0.0.1:9");
+            Process process = startProcess();
             List<String> lines =
-                    log(process).lines().filter(line -> !line.contains("roster: ")).toList();
+                    logOf(process).lines().filter(line -> !line.contains("roster: ")).toList();
             assertEquals(1, process.waitFor());
             assertEquals(
                     List.of(
@@ -293,13 +297,13 @@
     /** Guards against two processes that each keep to the budget and together do not. */
     @Test
     void whatAnotherProcessHoldsCountsInTheBudget() throws Exception {
-        sockets = 128;
+        maxSockets = 128;
         long other = ProcessHandle.current().parent().orElseThrow().pid();
         start();
-        assertEquals(200, code(ask("GET /view/1", ttl(800), "")));
+        assertEquals(200, statusCode(sendRequest("GET /view/1", ttlHeader(800), "")));
         Path mark = folder.resolve("runs-" + other + "-1");
         Files.writeString(mark, "128");
-        until(() -> !serves());
+        waitUntil(() -> !serves());
         try (var files = Files.list(folder)) {
             Path own =
                     files.filter(
@@ -308,16 +312,16 @@
                                                     && !file.equals(mark))
                             .findFirst()
                             .orElseThrow();
-            until(() -> Integer.parseInt("0" + Files.readString(own)) > 0);
+            waitUntil(() -> Integer.parseInt("0" + Files.readString(own)) > 0);
         }
         Files.delete(mark);
-        until(this::serves);
+        waitUntil(this::serves);
     }
 
     private boolean serves() {
         try {
-            String answer = ask("GET /view/1", ttl(800), "");
-            return answer != null && code(answer) == 200;
+            String answer = sendRequest("GET /view/1", ttlHeader(800), "");
+            return answer != null && statusCode(answer) == 200;
         } catch (IOException e) {
             return false; // Refused at once.
         }
@@ -326,21 +330,23 @@
     /** Guards against clients that meet a closed door while one process takes another's place. */
     @Test
     void aYoungerProcessAtTheSameAddressTakesTheClientsOver() throws Exception {
-        more = "";
+        extraConfig = "";
         start();
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
-        config(list(1, true, target("c", cache.address(), "cache", "Ready")), discovery.address());
-        Process old = process();
-        BufferedReader oldLog = log(old);
-        assertEquals(port, port(oldLog));
+        config(
+                endpointListJson(1, true, endpointJson("c", cache.address(), "cache", "Ready")),
+                discovery.address());
+        Process old = startProcess();
+        BufferedReader oldLog = logOf(old);
+        assertEquals(port, portFromLog(oldLog));
         Socket kept = new Socket(InetAddress.getLoopbackAddress(), port);
         opened.add(kept);
-        send(kept, "GET /view/1", ttl(800).replace("9b1f", "1"), "");
-        assertFalse(message(kept).contains("Connection: close"));
-        Process young = process();
-        BufferedReader youngLog = log(young);
+        send(kept, "GET /view/1", ttlHeader(800).replace("9b1f", "1"), "");
+        assertFalse(readMessage(kept).contains("Connection: close"));
+        Process young = startProcess();
+        BufferedReader youngLog = logOf(young);
         AtomicInteger served = new AtomicInteger();
         AtomicBoolean over = new AtomicBoolean();
         List<String> turnedBack = new CopyOnWriteArrayList<>();
@@ -353,9 +359,9 @@
                                     send(
                                             each,
                                             "GET /view/" + i,
-                                            ttl(800).replace("9b1f", "x" + i),
+                                            ttlHeader(800).replace("9b1f", "x" + i),
                                             "");
-                                    if (message(each)
+                                    if (readMessage(each)
                                             == null) { // A nack is an answer: the machine may be
                                         // short of time.
                                         turnedBack.add("request " + i + ": closed unread");
@@ -367,16 +373,16 @@
                             }
                             return null;
                         });
-        assertEquals(port, port(youngLog));
-        signal(old, "TERM");
-        line(oldLog, "drains");
-        line(oldLog, "is replaced by a younger process");
-        send(kept, "GET /view/1", ttl(800).replace("9b1f", "2"), "");
-        assertTrue(message(kept).contains("Connection: close"));
-        line(oldLog, "ends, 0 ops under way, broken: {}");
+        assertEquals(port, portFromLog(youngLog));
+        sendSignal(old, "TERM");
+        awaitLogLine(oldLog, "drains");
+        awaitLogLine(oldLog, "is replaced by a younger process");
+        send(kept, "GET /view/1", ttlHeader(800).replace("9b1f", "2"), "");
+        assertTrue(readMessage(kept).contains("Connection: close"));
+        awaitLogLine(oldLog, "ends, 0 ops under way, broken: {}");
         old.waitFor();
         int before = served.get();
-        until(() -> served.get() > before + 20);
+        waitUntil(() -> served.get() > before + 20);
         over.set(true);
         asking.join();
         assertEquals(List.of(), turnedBack, "of " + served);
@@ -385,21 +391,21 @@
     @Test
     void standbySendsClientsAwayAndActiveTakesThemAgain() throws Exception {
         start();
-        List<Socket> clients = new ArrayList<>(List.of(client(), client()));
+        List<Socket> clients = new ArrayList<>(List.of(connectClient(), connectClient()));
         for (Socket each : clients) {
-            send(each, "GET /view/1", ttl(800), "");
-            assertFalse(message(each).contains("Connection: close"));
+            send(each, "GET /view/1", ttlHeader(800), "");
+            assertFalse(readMessage(each).contains("Connection: close"));
         }
         assertTrue(call("standby").startsWith("200"));
         assertTrue(call("status").startsWith("400"));
-        assertEquals(503, code(ask("GET /-/ready", "", "")));
-        send(clients.get(0), "GET /view/1", ttl(800), "");
-        String answer = message(clients.get(0));
-        assertEquals(200, code(answer));
+        assertEquals(503, statusCode(sendRequest("GET /-/ready", "", "")));
+        send(clients.get(0), "GET /view/1", ttlHeader(800), "");
+        String answer = readMessage(clients.get(0));
+        assertEquals(200, statusCode(answer));
         assertTrue(answer.contains("Connection: close"), answer);
         assertEquals(-1, clients.get(1).getInputStream().read());
         assertTrue(call("active").startsWith("200"));
-        assertEquals(200, code(ask("GET /-/ready", "", "")));
-        assertFalse(ask("GET /view/1", ttl(800), "").contains("Connection: close"));
+        assertEquals(200, statusCode(sendRequest("GET /-/ready", "", "")));
+        assertFalse(sendRequest("GET /view/1", ttlHeader(800), "").contains("Connection: close"));
     }
 }
--- a/src/test/java/cairnbridge/proxy/PipeTest.java
+++ b/src/test/java/cairnbridge/proxy/PipeTest.java
@@ -18,18 +18,18 @@
     private static final String BODY = "hello";
 
     /** Notes at each write whether the pipe takes it for the last. */
-    private static final class Taker implements DataStreamChannel {
-        private final Pipe pipe;
+    private static final class RecordingChannel implements DataStreamChannel {
+        private final BodyPipe pipe;
         private final List<Boolean> lastOut = new ArrayList<>();
 
-        Taker(Pipe pipe) {
+        RecordingChannel(BodyPipe pipe) {
             this.pipe = pipe;
         }
 
         @Override
         public int write(ByteBuffer source) {
             int count = source.remaining();
-            lastOut.add(pipe.isLastOut());
+            lastOut.add(pipe.isLastChunkInWriting());
             source.position(source.limit());
             return count;
         }
@@ -49,11 +49,11 @@
     @CsvSource({"5, true", "6, false", "-1, false"})
     void theLastByteIsKnownByTheLengthBeforeTheGiverEnds(long length, boolean last)
             throws IOException {
-        Pipe pipe = new Pipe(new AtomicLong(), length);
-        Taker taker = new Taker(pipe);
+        BodyPipe pipe = new BodyPipe(new AtomicLong(), length);
+        RecordingChannel taker = new RecordingChannel(pipe);
 
-        pipe.give(ByteBuffer.wrap(BODY.getBytes(StandardCharsets.US_ASCII)));
-        pipe.write(taker);
+        pipe.append(ByteBuffer.wrap(BODY.getBytes(StandardCharsets.US_ASCII)));
+        pipe.writeTo(taker);
 
         assertEquals(List.of(last), taker.lastOut);
     }
--- a/src/test/java/cairnbridge/proxy/ProxyTest.java
+++ b/src/test/java/cairnbridge/proxy/ProxyTest.java
@@ -35,29 +35,29 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Stories of one proxy on real sockets. */
-class ProxyTest extends Stories {
+class ProxyTest extends ProxyTestSupport {
     @Test
     void aReadGoesOnAsItCameAndItsAnswerComesBackUnchanged() throws Exception {
         start();
-        String answer = ask("GET /view/7f3a?size=2", ttl(800), "");
-        assertEquals(200, code(answer));
-        assertEquals("kept", body(answer));
-        assertEquals(1, cache.seen.size());
+        String answer = sendRequest("GET /view/7f3a?size=2", ttlHeader(800), "");
+        assertEquals(200, statusCode(answer));
+        assertEquals("kept", bodyOf(answer));
+        assertEquals(1, cache.requests.size());
         assertTrue(
-                cache.seen.get(0).startsWith("GET /view/7f3a?size=2 HTTP/1.1\r\n"),
-                cache.seen.get(0));
-        assertTrue(cache.seen.get(0).contains("X-Trace-Id: 9b1f\r\n"), cache.seen.get(0));
+                cache.requests.get(0).startsWith("GET /view/7f3a?size=2 HTTP/1.1\r\n"),
+                cache.requests.get(0));
+        assertTrue(cache.requests.get(0).contains("X-Trace-Id: 9b1f\r\n"), cache.requests.get(0));
         assertTrue(
-                cache.seen.get(0).matches("(?s).*X-Expires-In: [1-7]\\d{5}u\r\n.*"),
-                cache.seen.get(0));
+                cache.requests.get(0).matches("(?s).*X-Expires-In: [1-7]\\d{5}u\r\n.*"),
+                cache.requests.get(0));
     }
 
     @Test
     void aMissIsFetchedFromTheOrigin() throws Exception {
-        cacheDoes = request -> MISS;
+        cacheHandler = request -> MISS;
         start();
-        assertEquals("fetched", body(ask("GET /view/7f3a", ttl(800), "")));
-        assertEquals(List.of(1, 1), List.of(cache.seen.size(), origin.seen.size()));
+        assertEquals("fetched", bodyOf(sendRequest("GET /view/7f3a", ttlHeader(800), "")));
+        assertEquals(List.of(1, 1), List.of(cache.requests.size(), origin.requests.size()));
     }
 
     @ParameterizedTest
@@ -68,10 +68,16 @@
                 IntStream.range(0, size)
                         .mapToObj(i -> String.valueOf((char) (i % 256)))
                         .collect(Collectors.joining());
-        assertEquals(200, code(ask("PUT /loan/7f3a", ttl(800) + "Idempotency-Key: k1\r\n", value)));
-        assertEquals(value, body(origin.seen.get(0)));
-        assertTrue(origin.seen.get(0).contains("Idempotency-Key: k1\r\n"));
-        assertEquals(0, cache.seen.size());
+        assertEquals(
+                200,
+                statusCode(
+                        sendRequest(
+                                "PUT /loan/7f3a",
+                                ttlHeader(800) + "Idempotency-Key: k1\r\n",
+                                value)));
+        assertEquals(value, bodyOf(origin.requests.get(0)));
+        assertTrue(origin.requests.get(0).contains("Idempotency-Key: k1\r\n"));
+        assertEquals(0, cache.requests.size());
     }
 
     @ParameterizedTest
@@ -90,20 +96,24 @@
     void aMalformedRequestIsAnswered400AndNothingIsPushed(String line, String headers, int size)
             throws Exception {
         start();
-        assertEquals(400, code(ask(line, headers.replace(";", "\r\n") + "\r\n", "x".repeat(size))));
-        assertEquals(200, code(ask("GET /view/1", ttl(800), "")));
-        assertEquals(List.of(1, 0), List.of(cache.seen.size(), origin.seen.size()));
+        assertEquals(
+                400,
+                statusCode(
+                        sendRequest(
+                                line, headers.replace(";", "\r\n") + "\r\n", "x".repeat(size))));
+        assertEquals(200, statusCode(sendRequest("GET /view/1", ttlHeader(800), "")));
+        assertEquals(List.of(1, 0), List.of(cache.requests.size(), origin.requests.size()));
     }
 
     @Test
     void aRefusedConnectionProvesThatTheOpNeverRan() throws Exception {
-        StandIn gone = new StandIn(request -> HIT);
+        StandInServer gone = new StandInServer(request -> HIT);
         gone.close();
-        start(target("gone", gone.address(), "cache", "Ready"));
+        start(endpointJson("gone", gone.address(), "cache", "Ready"));
         for (int key = 0; key < 20; key++) {
-            assertEquals(200, code(ask("GET /view/" + key, ttl(800), "")));
+            assertEquals(200, statusCode(sendRequest("GET /view/" + key, ttlHeader(800), "")));
         }
-        assertEquals(20, cache.seen.size());
+        assertEquals(20, cache.requests.size());
     }
 
     @ParameterizedTest
@@ -118,58 +128,58 @@
             })
     void anAtMostOnceOpIsPushedAgainOrNackedOnlyWithProof(String does, int code, int least)
             throws Exception {
-        originDoes = request -> does;
+        originHandler = request -> does;
         start();
-        assertEquals(code, code(ask("PUT /loan/1", ttl(500), "v")));
-        int pushes = origin.seen.size();
+        assertEquals(code, statusCode(sendRequest("PUT /loan/1", ttlHeader(500), "v")));
+        int pushes = origin.requests.size();
         assertTrue(least == 1 ? pushes == 1 : pushes >= least, "pushes " + pushes);
     }
 
     @Test
     void aBrokenReadIsPushedAgain() throws Exception {
         AtomicInteger pushes = new AtomicInteger();
-        cacheDoes = request -> pushes.incrementAndGet() == 1 ? RESET : HIT;
-        StandIn second = new StandIn(cacheDoes);
-        start(target("second", second.address(), "cache", "Ready"));
-        assertEquals(200, code(ask("GET /view/1", ttl(900), "")));
-        assertEquals(List.of(1, 1), List.of(cache.seen.size(), second.seen.size()));
+        cacheHandler = request -> pushes.incrementAndGet() == 1 ? RESET_CONNECTION : HIT;
+        StandInServer second = new StandInServer(cacheHandler);
+        start(endpointJson("second", second.address(), "cache", "Ready"));
+        assertEquals(200, statusCode(sendRequest("GET /view/1", ttlHeader(900), "")));
+        assertEquals(List.of(1, 1), List.of(cache.requests.size(), second.requests.size()));
     }
 
     @ParameterizedTest
     @CsvSource({"GET /view/1, 503", "PUT /loan/1, 502"})
     void aSilentServerCostsItsConnectionAndTheClientIsAnsweredInTime(String line, int code)
             throws Exception {
-        cacheDoes = request -> SILENT;
-        originDoes = request -> SILENT;
+        cacheHandler = request -> SILENT;
+        originHandler = request -> SILENT;
         start();
         long sent = System.nanoTime();
-        String answer = ask(line, ttl(300), line.startsWith("PUT") ? "v" : "");
-        assertEquals(code, code(answer));
+        String answer = sendRequest(line, ttlHeader(300), line.startsWith("PUT") ? "v" : "");
+        assertEquals(code, statusCode(answer));
         assertEquals(
                 code == 503, answer.matches("(?s).*Retry-After: [0-2]\\.\\d{4}\r\n.*"), answer);
         long millis = (System.nanoTime() - sent) / 1_000_000;
         assertTrue(millis < 370, "answered after " + millis);
-        until(() -> cache.ended.get() + origin.ended.get() == 1);
+        waitUntil(() -> cache.endedConnections.get() + origin.endedConnections.get() == 1);
     }
 
     @Test
     void aClientThatClosesTakesItsPushWithIt() throws Exception {
-        cacheDoes = request -> SILENT;
+        cacheHandler = request -> SILENT;
         start();
-        Socket leaving = client();
-        send(leaving, "GET /view/1", ttl(60_000), "");
-        until(() -> cache.seen.size() == 1);
+        Socket leaving = connectClient();
+        send(leaving, "GET /view/1", ttlHeader(60_000), "");
+        waitUntil(() -> cache.requests.size() == 1);
         leaving.close();
-        until(() -> cache.ended.get() == 1);
+        waitUntil(() -> cache.endedConnections.get() == 1);
     }
 
     @Test
     void connectionsAreKeptOnBothSides() throws Exception {
         start();
-        Socket keeping = client();
+        Socket keeping = connectClient();
         for (int i = 0; i < 5; i++) {
-            send(keeping, "GET /view/1", ttl(800), "");
-            assertEquals(200, code(message(keeping)));
+            send(keeping, "GET /view/1", ttlHeader(800), "");
+            assertEquals(200, statusCode(readMessage(keeping)));
         }
         assertEquals(1, cache.connections.size());
     }
@@ -178,39 +188,39 @@
     void anIdleConnectionGoesBeforeTheNodeWouldCloseIt() throws Exception {
         idleSeconds = 0.3;
         start();
-        ask("GET /view/1", ttl(800), "");
+        sendRequest("GET /view/1", ttlHeader(800), "");
         long answered = System.nanoTime();
-        until(() -> cache.ended.get() == 1);
+        waitUntil(() -> cache.endedConnections.get() == 1);
         assertTrue(System.nanoTime() - answered < 300_000_000L);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"Terminating", "Gone"})
     void aNodeThatDrainsOrIsGoneGetsNothingNew(String state) throws Exception {
-        StandIn leaving = new StandIn(request -> HIT);
+        StandInServer leaving = new StandInServer(request -> HIT);
         CountDownLatch change = new CountDownLatch(1);
-        discoveryDoes =
+        discoveryHandler =
                 request -> {
                     change.await();
                     return "200 OK||"
-                            + list(
+                            + endpointListJson(
                                     2,
                                     false,
-                                    target("l", leaving.address(), "cache", state),
-                                    target("odd", "nowhere", "cache", "Ready"),
-                                    target("x", leaving.address(), "cache", "Resting"))
+                                    endpointJson("l", leaving.address(), "cache", state),
+                                    endpointJson("odd", "nowhere", "cache", "Ready"),
+                                    endpointJson("x", leaving.address(), "cache", "Resting"))
                             + "\n";
                 };
-        start(target("l", leaving.address(), "cache", "Ready"));
-        for (int key = 0; leaving.seen.isEmpty(); key++) {
-            assertEquals(200, code(ask("GET /view/" + key, ttl(800), "")));
+        start(endpointJson("l", leaving.address(), "cache", "Ready"));
+        for (int key = 0; leaving.requests.isEmpty(); key++) {
+            assertEquals(200, statusCode(sendRequest("GET /view/" + key, ttlHeader(800), "")));
         }
         change.countDown();
-        until(() -> leaving.ended.get() == leaving.connections.size());
+        waitUntil(() -> leaving.endedConnections.get() == leaving.connections.size());
         for (int key = 0; key < 20; key++) {
-            assertEquals(200, code(ask("GET /view/" + key, ttl(800), "")));
+            assertEquals(200, statusCode(sendRequest("GET /view/" + key, ttlHeader(800), "")));
         }
-        assertEquals(1, leaving.seen.size());
+        assertEquals(1, leaving.requests.size());
     }
 
     @ParameterizedTest
@@ -224,80 +234,82 @@
                 "; CONNECT_FAILED"
             })
     void aProbeTellsHowItWent(String does, AttemptOutcome ending) throws Exception {
-        StandIn node = new StandIn(request -> does);
-        ProxyConfig config = config(list(1, true), node.address());
-        Inbox inbox = new Inbox(9);
-        Clock clock = new Clock();
-        Listen listen = new Listen(clock, config.names().categories(), new ProxyMetrics(List.of()));
-        Sockets ours = new Sockets(config, inbox, listen, Thread::new);
+        StandInServer node = new StandInServer(request -> does);
+        ProxyConfig config = config(endpointListJson(1, true), node.address());
+        EventQueue inbox = new EventQueue(9);
+        TickClock clock = new TickClock();
+        ListenerState listen =
+                new ListenerState(clock, config.names().categories(), new ProxyMetrics(List.of()));
+        ConnectionReactor ours = new ConnectionReactor(config, inbox, listen, Thread::new);
         opened.add(ours::stop);
         ours.start();
         if (does == null) {
             node.close();
         }
-        new Probe(ours, inbox, clock, config)
+        new HealthCheck(ours, inbox, clock, config)
                 .start(new NodeId(7), IpAddresses.parse(node.address()).orElseThrow());
-        Notice told = inbox.poll(9_000_000_000L);
-        while (!(told instanceof Notice.Probed)) {
+        ProxyEvent told = inbox.poll(9_000_000_000L);
+        while (!(told instanceof ProxyEvent.HealthCheckCompleted)) {
             told = inbox.poll(9_000_000_000L);
         }
-        assertEquals(ending, ((Notice.Probed) told).ending());
-        assertTrue(node.seen.stream().allMatch(request -> request.startsWith("GET /-/healthy ")));
+        assertEquals(ending, ((ProxyEvent.HealthCheckCompleted) told).outcome());
+        assertTrue(
+                node.requests.stream().allMatch(request -> request.startsWith("GET /-/healthy ")));
     }
 
     @Test
     void aWatchThatEndsIsOpenedAgainAfterTheLastVersion() throws Exception {
-        discoveryDoes =
+        discoveryHandler =
                 request ->
-                        discovery.seen.size() == 1
-                                ? RESET
-                                : discovery.seen.size() == 2
-                                        ? EMPTY.replace("\"rev\":1", "\"rev\":7")
+                        discovery.requests.size() == 1
+                                ? RESET_CONNECTION
+                                : discovery.requests.size() == 2
+                                        ? EMPTY_LIST.replace("\"rev\":1", "\"rev\":7")
                                         : SILENT;
         start();
-        until(() -> discovery.seen.size() == 3);
+        waitUntil(() -> discovery.requests.size() == 3);
         for (int turn = 1; turn <= 2; turn++) {
             String line = "GET /api/targets?watch=1&after=" + (turn == 1 ? 1 : 7) + " ";
-            assertTrue(discovery.seen.get(turn).startsWith(line), discovery.seen.get(turn));
+            assertTrue(discovery.requests.get(turn).startsWith(line), discovery.requests.get(turn));
         }
     }
 
     @Test
     void aSilentWatchIsGivenUp() throws Exception {
-        discoveryDoes = request -> SILENT;
+        discoveryHandler = request -> SILENT;
         start();
-        until(() -> discovery.seen.size() == 2);
-        until(() -> discovery.ended.get() == 1);
+        waitUntil(() -> discovery.requests.size() == 2);
+        waitUntil(() -> discovery.endedConnections.get() == 1);
     }
 
     @Test
     void everyProxySendsAKeyToTheSameNodeWhateverItsAddress() throws Exception {
         start();
-        Map<String, StandIn> fleet = new TreeMap<>();
+        Map<String, StandInServer> fleet = new TreeMap<>();
         for (String uid : List.of("a", "b", "c")) {
-            fleet.put(uid, new StandIn(request -> HIT));
+            fleet.put(uid, new StandInServer(request -> HIT));
         }
         List<List<Integer>> shares = new ArrayList<>();
         for (int turn = 0; turn < 2; turn++) {
-            fleet.values().forEach(each -> each.seen.clear());
+            fleet.values().forEach(each -> each.requests.clear());
             proxy =
-                    serve(
-                            list(
+                    startServer(
+                            endpointListJson(
                                     1,
                                     true,
                                     fleet.entrySet().stream()
                                             .map(
                                                     each ->
-                                                            target(
+                                                            endpointJson(
                                                                     each.getKey(),
                                                                     each.getValue().address(),
                                                                     "cache",
                                                                     "Ready"))
                                             .toArray(String[]::new)));
             for (int key = 0; key < 30; key++) {
-                ask("GET /view/" + key, ttl(800), "");
+                sendRequest("GET /view/" + key, ttlHeader(800), "");
             }
-            shares.add(fleet.values().stream().map(each -> each.seen.size()).toList());
+            shares.add(fleet.values().stream().map(each -> each.requests.size()).toList());
         }
         assertEquals(shares.get(0), shares.get(1));
         assertNotEquals(0, shares.get(0).get(0));
@@ -305,19 +317,19 @@
 
     @Test
     void whenSocketsRunShortEveryClientIsStillAnsweredAndThenLetGo() throws Exception {
-        sockets = 64;
+        maxSockets = 64;
         start();
         List<Socket> fresh = new ArrayList<>();
         List<Socket> keeping = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            fresh.add(client());
+            fresh.add(connectClient());
         }
         String answer = "";
         for (int i = 0; i < 100; i++) {
-            keeping.add(client());
-            send(keeping.get(i), "GET /view/1", ttl(900), "");
-            answer = message(keeping.get(i));
-            assertEquals(200, code(answer), "client " + i);
+            keeping.add(connectClient());
+            send(keeping.get(i), "GET /view/1", ttlHeader(900), "");
+            answer = readMessage(keeping.get(i));
+            assertEquals(200, statusCode(answer), "client " + i);
             // The next comes once this one has been let go, however late this machine closes it.
             if (answer.contains("Connection: close")) {
                 assertEquals(-1, keeping.get(i).getInputStream().read());
@@ -326,8 +338,8 @@
         assertTrue(answer.contains("Connection: close"), answer);
         // None of those whose request is still to come was closed to make room for the others.
         for (Socket each : fresh) {
-            send(each, "GET /view/1", ttl(900), "");
-            assertEquals(200, code(message(each)));
+            send(each, "GET /view/1", ttlHeader(900), "");
+            assertEquals(200, statusCode(readMessage(each)));
         }
     }
 
@@ -338,17 +350,19 @@
     @CsvSource({"5, false", "16, true"})
     void answersCloseTheirConnectionsWhereAThirdOfTheSocketsIsHeld(int held, boolean closes)
             throws Exception {
-        sockets = 64;
+        maxSockets = 64;
         start();
         for (int i = 0; i < held; i++) {
-            client();
+            connectClient();
         }
-        assertEquals(closes, ask("GET /view/1", ttl(800), "").contains("Connection: close"));
+        assertEquals(
+                closes,
+                sendRequest("GET /view/1", ttlHeader(800), "").contains("Connection: close"));
     }
 
     @Test
     void aPlannedEndFinishesWhatWasTakenAndTakesNoMore() throws Exception {
-        cacheDoes =
+        cacheHandler =
                 request -> {
                     while (proxy != null
                             && !request.contains("/quick")
@@ -358,60 +372,63 @@
                     return HIT;
                 };
         start();
-        Socket early = client();
-        Socket late = client();
-        Socket idle = client();
-        send(early, "GET /view/1", ttl(5000), "");
-        until(() -> cache.seen.size() == 1);
+        Socket early = connectClient();
+        Socket late = connectClient();
+        Socket idle = connectClient();
+        send(early, "GET /view/1", ttlHeader(5000), "");
+        waitUntil(() -> cache.requests.size() == 1);
         Thread drain = new Thread(proxy::drain);
         drain.start();
         // The rest of the fleet may not be ready: for a while nothing changes for clients that are
         // there.
         Thread.sleep(700);
-        send(idle, "GET /view/quick", ttl(9000).replace("9b1f", "5d13"), "");
-        assertFalse(message(idle).contains("Connection: close"));
+        send(idle, "GET /view/quick", ttlHeader(9000).replace("9b1f", "5d13"), "");
+        assertFalse(readMessage(idle).contains("Connection: close"));
         assertTrue(
-                cache.seen.get(cache.seen.size() - 1).matches("(?s).*X-Expires-In: \\d{1,6}u.*"));
-        Socket front = client();
-        until(
+                cache.requests
+                        .get(cache.requests.size() - 1)
+                        .matches("(?s).*X-Expires-In: \\d{1,6}u.*"));
+        Socket front = connectClient();
+        waitUntil(
                 () -> {
                     send(front, "GET /-/ready", "", "");
-                    return message(front).contains("Connection: close");
+                    return readMessage(front).contains("Connection: close");
                 });
-        send(late, "GET /view/quick", ttl(900).replace("9b1f", "7c02"), "");
-        String last = message(late);
-        assertEquals(200, code(last));
+        send(late, "GET /view/quick", ttlHeader(900).replace("9b1f", "7c02"), "");
+        String last = readMessage(late);
+        assertEquals(200, statusCode(last));
         assertTrue(last.contains("Connection: close"), last);
-        assertEquals(200, code(message(early)));
+        assertEquals(200, statusCode(readMessage(early)));
         assertEquals(-1, idle.getInputStream().read());
         drain.join();
-        assertThrows(IOException.class, this::client);
+        assertThrows(IOException.class, this::connectClient);
     }
 
     @Test
     void aStalledProcessStillAnswersBeforeTheTtlAndEndsWhenTold() throws Exception {
-        originDoes = request -> SILENT;
+        originHandler = request -> SILENT;
         start();
-        String known = list(1, true, target("o", origin.address(), "origin", "Ready"));
+        String known =
+                endpointListJson(1, true, endpointJson("o", origin.address(), "origin", "Ready"));
         config(known, discovery.address());
-        Process process = process();
-        BufferedReader log = log(process);
-        int port = port(log);
+        Process process = startProcess();
+        BufferedReader log = logOf(process);
+        int port = portFromLog(log);
         Socket client = new Socket(InetAddress.getLoopbackAddress(), port);
         opened.add(client);
-        send(client, "PUT /loan/1", ttl(50), "v");
-        assertEquals(502, code(message(client)));
-        signal(process, "STOP");
+        send(client, "PUT /loan/1", ttlHeader(50), "v");
+        assertEquals(502, statusCode(readMessage(client)));
+        sendSignal(process, "STOP");
         long sent = System.nanoTime();
-        send(client, "PUT /loan/1", ttl(400), "v");
+        send(client, "PUT /loan/1", ttlHeader(400), "v");
         Thread.sleep(200);
-        signal(process, "CONT");
-        assertEquals(502, code(message(client)));
+        sendSignal(process, "CONT");
+        assertEquals(502, statusCode(readMessage(client)));
         long millis = (System.nanoTime() - sent) / 1_000_000;
         assertTrue(millis < 470, "answered after " + millis);
-        signal(process, "TERM");
-        line(log, "drains");
-        line(log, "ends, 0 ops under way, broken: {}");
+        sendSignal(process, "TERM");
+        awaitLogLine(log, "drains");
+        awaitLogLine(log, "ends, 0 ops under way, broken: {}");
         process.waitFor();
     }
 
@@ -424,28 +441,33 @@
         AtomicLong lost = new AtomicLong();
         AtomicBoolean slow = new AtomicBoolean();
         clock =
-                new Clock() {
+                new TickClock() {
                     @Override
                     long now() {
-                        boolean owner = Thread.currentThread().getName().equals(Serve.OWNER);
+                        boolean owner =
+                                Thread.currentThread()
+                                        .getName()
+                                        .equals(ProxyServer.OWNER_THREAD_NAME);
                         return super.now()
-                                + (owner && slow.get() ? lost.addAndGet(20 * MILLI) : lost.get());
+                                + (owner && slow.get()
+                                        ? lost.addAndGet(20 * TICKS_PER_MILLI)
+                                        : lost.get());
                     }
 
                     @Override
                     long nanosUntil(long due) {
-                        return super.nanosUntil(due) - lost.get() * NANOS;
+                        return super.nanosUntil(due) - lost.get() * NANOS_PER_TICK;
                     }
                 };
-        cacheDoes = request -> SILENT;
+        cacheHandler = request -> SILENT;
         start();
         slow.set(true);
-        Socket client = client();
+        Socket client = connectClient();
         client.setSoTimeout(5000);
-        send(client, "GET /view/1", ttl(900), "");
-        until(() -> lost.get() > 200 * Clock.MILLI);
+        send(client, "GET /view/1", ttlHeader(900), "");
+        waitUntil(() -> lost.get() > 200 * TickClock.TICKS_PER_MILLI);
         slow.set(false);
-        assertEquals(503, code(message(client)));
+        assertEquals(503, statusCode(readMessage(client)));
     }
 
     @Test
@@ -475,33 +497,38 @@
     void aHangUpMovesTheWatchAndAFaultyFileChangesNothing() throws Exception {
         start();
         CountDownLatch whole = new CountDownLatch(1);
-        StandIn moved =
-                new StandIn(
+        StandInServer moved =
+                new StandInServer(
                         request -> {
                             whole.await();
                             return "200 OK||"
-                                    + list(1, true, target("m", cache.address(), "cache", "Ready"))
+                                    + endpointListJson(
+                                            1,
+                                            true,
+                                            endpointJson("m", cache.address(), "cache", "Ready"))
                                     + "\n";
                         });
-        config(list(1, true), discovery.address());
-        Process process = process();
-        BufferedReader log = log(process);
-        int port = port(log);
-        until(() -> discovery.seen.size() == 2);
-        config(list(1, true), moved.address());
-        signal(process, "HUP");
-        line(log, "discovery is /" + moved.address());
-        until(() -> !moved.seen.isEmpty() && discovery.ended.get() == 1);
-        assertTrue(moved.seen.get(0).startsWith("GET /api/targets?watch=1 "), moved.seen.get(0));
+        config(endpointListJson(1, true), discovery.address());
+        Process process = startProcess();
+        BufferedReader log = logOf(process);
+        int port = portFromLog(log);
+        waitUntil(() -> discovery.requests.size() == 2);
+        config(endpointListJson(1, true), moved.address());
+        sendSignal(process, "HUP");
+        awaitLogLine(log, "discovery is /" + moved.address());
+        waitUntil(() -> !moved.requests.isEmpty() && discovery.endedConnections.get() == 1);
+        assertTrue(
+                moved.requests.get(0).startsWith("GET /api/targets?watch=1 "),
+                moved.requests.get(0));
         Files.writeString(folder.resolve("config.json"), "{}");
-        signal(process, "HUP");
-        line(log, "keeps its configuration: LB_CONFIG.settings.categories");
+        sendSignal(process, "HUP");
+        awaitLogLine(log, "keeps its configuration: LB_CONFIG.settings.categories");
         whole.countDown();
         for (int code = 0; code != 200; ) {
             Socket client = new Socket(InetAddress.getLoopbackAddress(), port);
             opened.add(client);
-            send(client, "GET /view/1", ttl(800), "");
-            code = code(message(client));
+            send(client, "GET /view/1", ttlHeader(800), "");
+            code = statusCode(readMessage(client));
         }
     }
 
@@ -521,8 +548,8 @@
             })
     void aRequestWithoutOneClearEndIsRefusedAndNothingIsPushed(String rest) throws Exception {
         start();
-        Socket rude = client();
-        String head = ttl(900).trim();
+        Socket rude = connectClient();
+        String head = ttlHeader(900).trim();
         rude.getOutputStream()
                 .write(
                         ("GET /view/1 HTTP/1.1\r\n"
@@ -534,10 +561,10 @@
                                                 .replace(";", "\r\n"))
                                 .getBytes(StandardCharsets.ISO_8859_1));
         rude.shutdownOutput();
-        String answer = message(rude);
+        String answer = readMessage(rude);
         assertTrue(answer.matches("(?s)HTTP/1.1 (4..|501) .*Connection: close.*"), answer);
         assertEquals(-1, rude.getInputStream().read());
-        assertEquals(0, cache.seen.size());
+        assertEquals(0, cache.requests.size());
     }
 
     @ParameterizedTest
@@ -553,22 +580,22 @@
                 "HTTP/1.1 503 Full;X-Never-Ran: 1;Content-Length: x;;"
             })
     void aSpoiltAnswerIsAPushThatMayHaveRun(String spoilt) throws Exception {
-        originDoes = request -> spoilt;
+        originHandler = request -> spoilt;
         start();
-        assertEquals(502, code(ask("PUT /loan/1", ttl(400), "v")));
-        assertEquals(1, origin.seen.size());
-        until(() -> origin.ended.get() == 1);
+        assertEquals(502, statusCode(sendRequest("PUT /loan/1", ttlHeader(400), "v")));
+        assertEquals(1, origin.requests.size());
+        waitUntil(() -> origin.endedConnections.get() == 1);
     }
 
     @ParameterizedTest
     @ValueSource(
             strings = {"HTTP/1.1 200 OK;Content-Length: 5;;other", "noise", "HTTP/1.1 102 Go on;;"})
     void whatComesBehindAnAnswerIsNobodysAnswer(String behind) throws Exception {
-        cacheDoes =
+        cacheHandler =
                 request -> "HTTP/1.1 100 Go on;;HTTP/1.1 200 OK;Content-Length: 4;;kept" + behind;
         start();
         for (int turn = 1; turn <= 3; turn++) {
-            assertEquals("kept", body(ask("GET /view/1", ttl(900), "")));
+            assertEquals("kept", bodyOf(sendRequest("GET /view/1", ttlHeader(900), "")));
         }
         assertEquals(3, cache.connections.size());
     }
@@ -577,7 +604,7 @@
     void aConnectionThatTheNodeHasClosedCostsNoOp() throws Exception {
         start();
         for (int turn = 1; turn <= 5; turn++) {
-            assertEquals(200, code(ask("PUT /loan/1", ttl(900), "v")));
+            assertEquals(200, statusCode(sendRequest("PUT /loan/1", ttlHeader(900), "v")));
             origin.connections.get(turn - 1).close();
         }
     }
@@ -585,18 +612,21 @@
     @Test
     void aSuccessorAtTheSameAddressInheritsNoConnection() throws Exception {
         CountDownLatch change = new CountDownLatch(1);
-        discoveryDoes =
+        discoveryHandler =
                 request -> {
                     change.await();
                     return "200 OK||"
-                            + list(2, true, target("next", cache.address(), "cache", "Ready"))
+                            + endpointListJson(
+                                    2,
+                                    true,
+                                    endpointJson("next", cache.address(), "cache", "Ready"))
                             + "\n";
                 };
         start();
-        assertEquals(200, code(ask("GET /view/1", ttl(900), "")));
+        assertEquals(200, statusCode(sendRequest("GET /view/1", ttlHeader(900), "")));
         change.countDown();
-        until(() -> cache.ended.get() == 1);
-        assertEquals(200, code(ask("GET /view/1", ttl(900), "")));
+        waitUntil(() -> cache.endedConnections.get() == 1);
+        assertEquals(200, statusCode(sendRequest("GET /view/1", ttlHeader(900), "")));
         assertEquals(2, cache.connections.size());
     }
 
@@ -610,7 +640,7 @@
             })
     void whoDoesNotComeToAnEndIsLetGoInTime(String said) throws Exception {
         start();
-        Socket slow = client();
+        Socket slow = connectClient();
         long connected = System.nanoTime();
         slow.getOutputStream().write(said.getBytes(StandardCharsets.ISO_8859_1));
         daemon(
@@ -634,75 +664,86 @@
 
     @Test
     void theIdOfAnOpenOpIsNotTakenTwice() throws Exception {
-        cacheDoes = request -> SILENT;
+        cacheHandler = request -> SILENT;
         start();
-        Socket first = client();
-        send(first, "GET /view/1", ttl(600), "");
-        until(() -> cache.seen.size() == 1);
-        assertEquals(409, code(ask("GET /view/1", ttl(600), "")));
-        assertEquals(503, code(message(first)));
-        assertEquals(1, cache.seen.size());
+        Socket first = connectClient();
+        send(first, "GET /view/1", ttlHeader(600), "");
+        waitUntil(() -> cache.requests.size() == 1);
+        assertEquals(409, statusCode(sendRequest("GET /view/1", ttlHeader(600), "")));
+        assertEquals(503, statusCode(readMessage(first)));
+        assertEquals(1, cache.requests.size());
     }
 
     @Test
     void aSecondRequestBeforeTheAnswerEndsTheConnectionAfterTheFirst() throws Exception {
         start();
-        Socket rude = client();
-        send(rude, "GET /view/1 HTTP/1.1\r\n" + ttl(900) + "\r\nGET /view/2", ttl(900), "");
-        assertEquals(200, code(message(rude)));
-        assertEquals(400, code(message(rude)));
-        assertEquals(1, cache.seen.size());
+        Socket rude = connectClient();
+        send(
+                rude,
+                "GET /view/1 HTTP/1.1\r\n" + ttlHeader(900) + "\r\nGET /view/2",
+                ttlHeader(900),
+                "");
+        assertEquals(200, statusCode(readMessage(rude)));
+        assertEquals(400, statusCode(readMessage(rude)));
+        assertEquals(1, cache.requests.size());
     }
 
     @Test
     void theFirstSecondsAfterASwitchKeepWhatWasLearntAndAskForTheList() throws Exception {
-        more = "\"learnt\":\"" + folder.resolve("learnt.json") + "\",";
-        copies = "true";
-        StandIn bad = new StandIn(request -> "500 Ill||");
-        start(target("bad", bad.address(), "cache", "Ready"));
+        extraConfig = "\"learnt\":\"" + folder.resolve("learnt.json") + "\",";
+        hedging = "true";
+        StandInServer bad = new StandInServer(request -> "500 Ill||");
+        start(endpointJson("bad", bad.address(), "cache", "Ready"));
         for (int key = 0; key < 30; key++) {
-            assertEquals(200, code(ask("GET /view/" + key, ttl(800), "")));
+            assertEquals(200, statusCode(sendRequest("GET /view/" + key, ttlHeader(800), "")));
             Thread.sleep(50);
         }
         proxy.stop();
         String learnt = Files.readString(folder.resolve("learnt.json"));
         assertTrue(learnt.matches(".*\"share\":0\\..*"), learnt);
 
-        copies = "false";
-        shape =
+        hedging = "false";
+        extraSettings =
                 "\"registry-mode\":\"subscribe\",\"load-info\":{\"how\":\"answers\","
                         + "\"columns\":[\"inflight\",\"qps\",\"x0\"]},";
-        int watched = discovery.seen.size();
+        int watched = discovery.requests.size();
         List<String> atBad =
-                bad.seen.stream()
+                bad.requests.stream()
                         .limit(3)
                         .map(each -> each.substring(0, each.indexOf(" HTTP")))
                         .toList();
         assertEquals(3, atBad.size());
-        bad.seen.clear();
+        bad.requests.clear();
         proxy =
-                serve(
-                        list(
+                startServer(
+                        endpointListJson(
                                 1,
                                 true,
-                                target("c", cache.address(), "cache", "Ready"),
-                                target("bad", bad.address(), "cache", "Ready"),
-                                target("o", origin.address(), "origin", "Ready")));
-        until(() -> discovery.seen.size() > watched);
-        cacheDoes =
+                                endpointJson("c", cache.address(), "cache", "Ready"),
+                                endpointJson("bad", bad.address(), "cache", "Ready"),
+                                endpointJson("o", origin.address(), "origin", "Ready")));
+        waitUntil(() -> discovery.requests.size() > watched);
+        cacheHandler =
                 request -> {
                     Thread.sleep(500);
                     return HIT;
                 };
-        int before = cache.seen.size();
-        assertEquals(200, code(ask(atBad.get(0).replace("view/", "view/slow"), ttl(900), "")));
-        assertTrue(cache.seen.size() - before + bad.seen.size() <= 2, "a second copy went out");
-        cacheDoes = request -> HIT;
+        int before = cache.requests.size();
+        assertEquals(
+                200,
+                statusCode(
+                        sendRequest(
+                                atBad.get(0).replace("view/", "view/slow"), ttlHeader(900), "")));
+        assertTrue(
+                cache.requests.size() - before + bad.requests.size() <= 2,
+                "a second copy went out");
+        cacheHandler = request -> HIT;
         for (String line : atBad) {
-            assertEquals(200, code(ask(line, ttl(800), "")));
+            assertEquals(200, statusCode(sendRequest(line, ttlHeader(800), "")));
         }
         assertTrue(
-                bad.seen.size() <= 1, bad.seen.size() + " of 3 met the cache that was bad before");
+                bad.requests.size() <= 1,
+                bad.requests.size() + " of 3 met the cache that was bad before");
     }
 
     @ParameterizedTest
@@ -717,9 +758,9 @@
     void whatWasLearntAndCannotBeReadIsLeftOut(String text) throws Exception {
         Path file = folder.resolve("learnt.json");
         Files.writeString(file, text);
-        more = "\"learnt\":\"" + file + "\",";
+        extraConfig = "\"learnt\":\"" + file + "\",";
         start();
-        assertEquals(200, code(ask("GET /view/1", ttl(800), "")));
+        assertEquals(200, statusCode(sendRequest("GET /view/1", ttlHeader(800), "")));
     }
 
     @ParameterizedTest
--- a/src/test/java/cairnbridge/proxy/Stories.java
+++ b/src/test/java/cairnbridge/proxy/ProxyTestSupport.java
@@ -28,37 +28,37 @@
 
 /** One proxy on real sockets, among stand-ins for caches, origin, discovery and clients. */
 @Timeout(20)
-abstract class Stories {
+abstract class ProxyTestSupport {
     static final String HIT = "200 OK|X-Store: hit|kept";
     static final String MISS = "404 Not Found|X-Store: miss|";
-    static final String RESET = "reset";
-    static final String CLOSING = "and close: ";
+    static final String RESET_CONNECTION = "reset";
+    static final String ANSWER_AND_CLOSE = "and close: ";
     static final String SILENT = "silent";
     static final String QUIET = "quiet";
-    static final String EMPTY = "200 OK||{\"rev\":1,\"all\":false,\"targets\":[]}\n";
+    static final String EMPTY_LIST = "200 OK||{\"rev\":1,\"all\":false,\"targets\":[]}\n";
 
     @TempDir Path folder;
     final List<AutoCloseable> opened = new ArrayList<>();
-    Does cacheDoes = request -> HIT;
-    Does originDoes = request -> "200 OK||fetched";
-    Does discoveryDoes = request -> QUIET;
-    int sockets = 256;
+    RequestHandler cacheHandler = request -> HIT;
+    RequestHandler originHandler = request -> "200 OK||fetched";
+    RequestHandler discoveryHandler = request -> QUIET;
+    int maxSockets = 256;
     int port;
     double idleSeconds = 60;
-    double dialSeconds = 0.2;
+    double connectSeconds = 0.2;
 
     /** More of the configuration and of its settings, for a deployment of another shape. */
-    String more = "";
+    String extraConfig = "";
 
-    String shape = "";
-    String copies = "false";
+    String extraSettings = "";
+    String hedging = "false";
 
     volatile boolean broken;
-    Clock clock = new Clock();
-    StandIn cache;
-    StandIn origin;
-    StandIn discovery;
-    Serve proxy;
+    TickClock clock = new TickClock();
+    StandInServer cache;
+    StandInServer origin;
+    StandInServer discovery;
+    ProxyServer proxy;
 
     @AfterEach
     void close() throws Exception {
@@ -71,18 +71,18 @@
     /**
      * What a server of the fleet sees and does: requests as texts, answers as status|header|body.
      */
-    class StandIn implements AutoCloseable {
-        final List<String> seen = new CopyOnWriteArrayList<>();
+    class StandInServer implements AutoCloseable {
+        final List<String> requests = new CopyOnWriteArrayList<>();
         final List<Socket> connections = new CopyOnWriteArrayList<>();
-        final AtomicInteger ended = new AtomicInteger();
+        final AtomicInteger endedConnections = new AtomicInteger();
         final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        final Does does;
-        final Thread accepting;
+        final RequestHandler handler;
+        final Thread acceptThread;
 
-        StandIn(Does does) throws IOException {
-            this.does = does;
+        StandInServer(RequestHandler does) throws IOException {
+            this.handler = does;
             opened.add(this);
-            accepting =
+            acceptThread =
                     daemon(
                             () -> {
                                 while (true) {
@@ -93,7 +93,7 @@
                                                 try {
                                                     return serve(socket);
                                                 } finally {
-                                                    ended.incrementAndGet();
+                                                    endedConnections.incrementAndGet();
                                                 }
                                             });
                                 }
@@ -106,23 +106,23 @@
 
         Void serve(Socket socket) throws IOException, InterruptedException {
             InputStream in = new BufferedInputStream(socket.getInputStream());
-            for (String request = message(in); request != null; request = message(in)) {
-                seen.add(request);
-                String answer = does.apply(request);
-                if (answer.equals(RESET)) {
+            for (String request = readMessage(in); request != null; request = readMessage(in)) {
+                requests.add(request);
+                String answer = handler.apply(request);
+                if (answer.equals(RESET_CONNECTION)) {
                     socket.setSoLinger(true, 0);
                     socket.close();
                     return null;
-                } else if (answer.startsWith(CLOSING)) {
+                } else if (answer.startsWith(ANSWER_AND_CLOSE)) {
                     socket.getOutputStream()
                             .write(
-                                    answer.substring(CLOSING.length())
+                                    answer.substring(ANSWER_AND_CLOSE.length())
                                             .replace(";", "\r\n")
                                             .getBytes(StandardCharsets.ISO_8859_1));
                     socket.close();
                     return null;
                 } else if (answer.equals(QUIET)) {
-                    quiet(socket);
+                    sendHeartbeats(socket);
                 } else if (answer.startsWith("HTTP/")) {
                     socket.getOutputStream()
                             .write(
@@ -151,7 +151,7 @@
          * A watch on which nothing changes: an empty line now and then, until the other side
          * closes.
          */
-        private void quiet(Socket socket) throws IOException, InterruptedException {
+        private void sendHeartbeats(Socket socket) throws IOException, InterruptedException {
             String head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
             socket.getOutputStream().write(head.getBytes());
             while (true) {
@@ -165,7 +165,7 @@
             server.close();
             try {
                 // A system call that still accepts keeps the port open after its close.
-                accepting.join();
+                acceptThread.join();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -176,16 +176,16 @@
     }
 
     /** How a stand-in answers. */
-    interface Does {
+    interface RequestHandler {
         String apply(String request) throws InterruptedException;
     }
 
     /** What a thread does. */
-    interface Work {
+    interface InterruptibleTask {
         Object run() throws IOException, InterruptedException;
     }
 
-    static Thread daemon(Work work) {
+    static Thread daemon(InterruptibleTask work) {
         Thread thread =
                 new Thread(
                         () -> {
@@ -201,11 +201,11 @@
     }
 
     /** One whole message, head and body, or null where the connection ends before. */
-    static String message(Socket socket) throws IOException {
-        return message(socket.getInputStream());
+    static String readMessage(Socket socket) throws IOException {
+        return readMessage(socket.getInputStream());
     }
 
-    static String message(InputStream in) throws IOException {
+    static String readMessage(InputStream in) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         String text = "";
         int length = -1;
@@ -237,7 +237,7 @@
         return null;
     }
 
-    static String target(String uid, String address, String kind, String state) {
+    static String endpointJson(String uid, String address, String kind, String state) {
         return "{\"uid\":\""
                 + uid
                 + "\",\"endpoint\":\""
@@ -249,7 +249,7 @@
                 + "\",\"capacity_hint\":1,\"boot_ms\":0,\"news\":[1]}";
     }
 
-    static String list(int version, boolean whole, String... targets) {
+    static String endpointListJson(int version, boolean whole, String... targets) {
         return "{\"rev\":"
                 + version
                 + ",\"all\":"
@@ -279,42 +279,43 @@
                                 port,
                                 discoveryAddress,
                                 known,
-                                sockets,
-                                more,
-                                shape,
-                                copies,
-                                dialSeconds,
+                                maxSockets,
+                                extraConfig,
+                                extraSettings,
+                                hedging,
+                                connectSeconds,
                                 idleSeconds));
         return ProxyConfig.read(Map.of("LB_CONFIG", file.toString(), "TMPDIR", folder.toString()));
     }
 
     void start(String... more) throws Exception {
-        cache = new StandIn(request -> cacheDoes.apply(request));
-        origin = new StandIn(request -> originDoes.apply(request));
-        discovery = new StandIn(request -> discoveryDoes.apply(request));
+        cache = new StandInServer(request -> cacheHandler.apply(request));
+        origin = new StandInServer(request -> originHandler.apply(request));
+        discovery = new StandInServer(request -> discoveryHandler.apply(request));
         List<String> targets =
                 new ArrayList<>(
                         List.of(
-                                target("c", cache.address(), "cache", "Ready"),
-                                target("o", origin.address(), "origin", "Ready")));
+                                endpointJson("c", cache.address(), "cache", "Ready"),
+                                endpointJson("o", origin.address(), "origin", "Ready")));
         targets.addAll(List.of(more));
-        proxy = serve(list(1, true, targets.toArray(String[]::new)));
+        proxy = startServer(endpointListJson(1, true, targets.toArray(String[]::new)));
     }
 
-    Serve serve(String known) throws Exception {
-        Serve made = new Serve(config(known, discovery.address()), () -> broken = true, clock);
+    ProxyServer startServer(String known) throws Exception {
+        ProxyServer made =
+                new ProxyServer(config(known, discovery.address()), () -> broken = true, clock);
         opened.add(made::stop);
         made.start();
         return made;
     }
 
     /** The program as a process of its own, with the configuration in this test's folder. */
-    Process process() throws IOException {
-        return processAfter("true");
+    Process startProcess() throws IOException {
+        return startProcessAfter("true");
     }
 
     /** The same, begun by a shell after this command, whose limits and signals it inherits. */
-    Process processAfter(String shellCommand) throws IOException {
+    Process startProcessAfter(String shellCommand) throws IOException {
         ProcessBuilder builder =
                 new ProcessBuilder(
                         "bash",
@@ -333,12 +334,12 @@
         return process;
     }
 
-    static BufferedReader log(Process process) {
+    static BufferedReader logOf(Process process) {
         return new BufferedReader(new InputStreamReader(process.getErrorStream()));
     }
 
     /** The first line with these words: others may come before it, as time goes by. */
-    static String line(BufferedReader log, String words) throws IOException {
+    static String awaitLogLine(BufferedReader log, String words) throws IOException {
         String line = log.readLine();
         while (line != null && !line.contains(words)) {
             line = log.readLine();
@@ -347,12 +348,12 @@
         return line;
     }
 
-    static int port(BufferedReader log) throws IOException {
-        String line = line(log, " serves on ");
+    static int portFromLog(BufferedReader log) throws IOException {
+        String line = awaitLogLine(log, " serves on ");
         return Integer.parseInt(line.substring(line.lastIndexOf(':') + 1));
     }
 
-    Socket client() throws IOException {
+    Socket connectClient() throws IOException {
         InetSocketAddress address = proxy.address();
         Socket socket = new Socket(address.getAddress(), address.getPort());
         opened.add(socket);
@@ -373,14 +374,14 @@
                                 .getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    static String ttl(int millis) {
+    static String ttlHeader(int millis) {
         return "X-Trace-Id: 9b1f\r\nX-Expires-In: " + millis + "m\r\n";
     }
 
-    String ask(String line, String headers, String body) throws IOException {
-        Socket socket = client();
+    String sendRequest(String line, String headers, String body) throws IOException {
+        Socket socket = connectClient();
         send(socket, line, headers, body);
-        return message(socket);
+        return readMessage(socket);
     }
 
     /** What is waited for. */
@@ -388,21 +389,21 @@
         boolean holds() throws IOException;
     }
 
-    static void until(Condition what) throws IOException, InterruptedException {
+    static void waitUntil(Condition what) throws IOException, InterruptedException {
         while (!what.holds()) {
             Thread.sleep(2);
         }
     }
 
-    static void signal(Process process, String name) throws Exception {
+    static void sendSignal(Process process, String name) throws Exception {
         new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid())).start().waitFor();
     }
 
-    static int code(String answer) {
+    static int statusCode(String answer) {
         return Integer.parseInt(answer.split(" ")[1]);
     }
 
-    static String body(String message) {
+    static String bodyOf(String message) {
         return message.substring(message.indexOf("\r\n\r\n") + 4);
     }
 }
--- a/src/test/java/cairnbridge/proxy/ReloadTest.java
+++ b/src/test/java/cairnbridge/proxy/ReloadTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** A new configuration counts in time, however the process was started. */
-class ReloadTest extends Stories {
+class ReloadTest extends ProxyTestSupport {
     private static final int READS = 20;
 
     /**
@@ -25,46 +25,46 @@
     void aNodeThatDrainsByTheNewDiscoveryGetsNothingAfterAReload(String inherited)
             throws Exception {
         start();
-        StandIn draining = new StandIn(request -> HIT);
+        StandInServer draining = new StandInServer(request -> HIT);
         String before =
-                list(
+                endpointListJson(
                         1,
                         true,
-                        target("d", draining.address(), "cache", "Ready"),
-                        target("o", origin.address(), "origin", "Ready"));
+                        endpointJson("d", draining.address(), "cache", "Ready"),
+                        endpointJson("o", origin.address(), "origin", "Ready"));
         String after =
-                list(
+                endpointListJson(
                         1,
                         true,
-                        target("c", cache.address(), "cache", "Ready"),
-                        target("d", draining.address(), "cache", "Terminating"),
-                        target("o", origin.address(), "origin", "Ready"));
-        StandIn moved = new StandIn(request -> "200 OK||" + after + "\n");
+                        endpointJson("c", cache.address(), "cache", "Ready"),
+                        endpointJson("d", draining.address(), "cache", "Terminating"),
+                        endpointJson("o", origin.address(), "origin", "Ready"));
+        StandInServer moved = new StandInServer(request -> "200 OK||" + after + "\n");
         config(before, discovery.address());
-        Process process = processAfter(inherited);
-        BufferedReader log = log(process);
-        int port = port(log);
+        Process process = startProcessAfter(inherited);
+        BufferedReader log = logOf(process);
+        int port = portFromLog(log);
         assertEquals(200, read(port));
-        assertEquals(1, draining.seen.size());
+        assertEquals(1, draining.requests.size());
 
         config(before, moved.address());
-        signal(process, "HUP");
+        sendSignal(process, "HUP");
         long reloaded = System.nanoTime();
-        until(() -> !moved.seen.isEmpty());
-        until(() -> read(port) == 200 && !cache.seen.isEmpty());
+        waitUntil(() -> !moved.requests.isEmpty());
+        waitUntil(() -> read(port) == 200 && !cache.requests.isEmpty());
         long millis = (System.nanoTime() - reloaded) / 1_000_000;
         assertTrue(millis <= TimeBudget.RELOAD_NOTIFIED_MILLIS, "in force after " + millis + " ms");
-        int sent = draining.seen.size();
+        int sent = draining.requests.size();
         for (int i = 0; i < READS; i++) {
             assertEquals(200, read(port));
         }
-        assertEquals(sent, draining.seen.size());
+        assertEquals(sent, draining.requests.size());
     }
 
     private int read(int port) throws IOException {
         try (Socket client = new Socket(InetAddress.getLoopbackAddress(), port)) {
-            send(client, "GET /view/1", ttl(800), "");
-            return code(message(client));
+            send(client, "GET /view/1", ttlHeader(800), "");
+            return statusCode(readMessage(client));
         }
     }
 }
--- a/src/test/java/cairnbridge/proxy/StartTest.java
+++ b/src/test/java/cairnbridge/proxy/StartTest.java
@@ -12,7 +12,7 @@
  * Processes that are started together, on one machine here, are ready in time whatever discovery
  * does.
  */
-class StartTest extends Stories {
+class StartTest extends ProxyTestSupport {
     private static final int PROCESSES = 10;
     private static final int IN_TIME = 9;
     private static final long READY_NANOS = 10_000_000_000L;
@@ -21,12 +21,14 @@
     @ValueSource(strings = {"up", "refused", "hung", "returning"})
     void nineInTenAreReadyWithinTenSeconds(String does) throws Exception {
         AtomicInteger calls = new AtomicInteger();
-        discoveryDoes =
+        discoveryHandler =
                 request ->
                         switch (does) {
                             case "hung" -> SILENT;
                             case "returning" ->
-                                    calls.incrementAndGet() <= 3 * PROCESSES ? RESET : QUIET;
+                                    calls.incrementAndGet() <= 3 * PROCESSES
+                                            ? RESET_CONNECTION
+                                            : QUIET;
                             default -> QUIET;
                         };
         start();
@@ -34,21 +36,21 @@
             discovery.close();
         }
         config(
-                list(
+                endpointListJson(
                         1,
                         true,
-                        target("c", cache.address(), "cache", "Ready"),
-                        target("o", origin.address(), "origin", "Ready")),
+                        endpointJson("c", cache.address(), "cache", "Ready"),
+                        endpointJson("o", origin.address(), "origin", "Ready")),
                 discovery.address());
         long started = System.nanoTime();
         List<Thread> waiting = new ArrayList<>();
         AtomicInteger ready = new AtomicInteger();
         for (int i = 0; i < PROCESSES; i++) {
-            Process process = process();
+            Process process = startProcess();
             waiting.add(
                     daemon(
                             () -> {
-                                port(log(process));
+                                portFromLog(logOf(process));
                                 if (System.nanoTime() - started <= READY_NANOS) {
                                     ready.incrementAndGet();
                                 }
--- a/src/test/java/cairnbridge/proxy/StatsNamesTest.java
+++ b/src/test/java/cairnbridge/proxy/StatsNamesTest.java
@@ -17,7 +17,7 @@
 /**
  * A proxy with all optional parts on has the metrics of an earlier version, no more and no fewer.
  */
-class StatsNamesTest extends Stories {
+class StatsNamesTest extends ProxyTestSupport {
     private static final String FLEET =
             """
             cluster = "c"
@@ -32,7 +32,7 @@
             folder = "store"
             """;
 
-    private Serve member() throws Exception {
+    private ProxyServer member() throws Exception {
         Files.writeString(folder.resolve("secret"), "sixteen bytes or more");
         Path fleet = folder.resolve("fleet.toml");
         Files.writeString(fleet, FLEET.formatted(folder.resolve("zones.state")));
@@ -42,8 +42,9 @@
                         config.recovery().orElseThrow(),
                         config.transport().identity().generation(),
                         line -> {});
-        Serve made = new Serve(config("{}", discovery.address()), () -> broken = true, clock);
-        made.join(
+        ProxyServer made =
+                new ProxyServer(config("{}", discovery.address()), () -> broken = true, clock);
+        made.joinFleet(
                 config.withPersisted(keeper.generation(), keeper.rememberedEndpoints()),
                 Optional.of(keeper));
         opened.add(made::stop);
@@ -60,11 +61,11 @@
 
     @Test
     void allMetricsHaveTheNamesAndTypesOfAnEarlierVersion() throws Exception {
-        more = "\"admin_addr\":\"127.0.0.1:0\",";
-        discovery = new StandIn(request -> QUIET);
+        extraConfig = "\"admin_addr\":\"127.0.0.1:0\",";
+        discovery = new StandInServer(request -> QUIET);
 
         List<String> names =
-                stats(member().door())
+                stats(member().adminAddress())
                         .lines()
                         .filter(line -> line.startsWith("lb."))
                         .map(line -> line.replaceFirst(":[^|]*\\|", "|"))
--- a/src/test/java/cairnbridge/proxy/StreamsTest.java
+++ b/src/test/java/cairnbridge/proxy/StreamsTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Bodies that are too long to be gathered, both ways. */
-class StreamsTest extends Stories {
+class StreamsTest extends ProxyTestSupport {
     private final HttpClient web =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
@@ -63,7 +63,7 @@
     })
     void anAnswerOfAnyFormAndLengthComesBackUnchanged(String form, int size) throws Exception {
         String body = text(size);
-        cacheDoes =
+        cacheHandler =
                 request ->
                         switch (form) {
                             case "length" -> "200 OK||" + body;
@@ -71,7 +71,9 @@
                                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                                             + chunked(body, 1999);
                             default ->
-                                    CLOSING + "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body;
+                                    ANSWER_AND_CLOSE
+                                            + "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
+                                            + body;
                         };
         start();
         for (int turn = 0; turn < 3; turn++) {
@@ -101,7 +103,7 @@
                                     request("/loan/1", 900).PUT(publisher).build(),
                                     HttpResponse.BodyHandlers.ofString())
                             .statusCode());
-            String seen = body(origin.seen.get(turn));
+            String seen = bodyOf(origin.requests.get(turn));
             assertEquals(
                     body, chunked ? seen.replaceAll("(^|\r\n)[0-9a-f]+\r\n(\r\n)?", "") : seen);
         }
@@ -110,13 +112,13 @@
     @ParameterizedTest
     @ValueSource(ints = {100_000, 1000})
     void theTtlOfABodyRunsFromItsLastByte(int size) throws Exception {
-        originDoes = request -> SILENT;
+        originHandler = request -> SILENT;
         start();
-        Socket slow = client();
+        Socket slow = connectClient();
         slow.getOutputStream()
                 .write(
                         ("PUT /loan/1 HTTP/1.1\r\n"
-                                        + ttl(300)
+                                        + ttlHeader(300)
                                         + "Content-Length: "
                                         + size
                                         + "\r\n\r\n")
@@ -126,16 +128,16 @@
             Thread.sleep(60);
         }
         long last = System.nanoTime();
-        assertEquals(502, code(message(slow)));
+        assertEquals(502, statusCode(readMessage(slow)));
         long millis = (System.nanoTime() - last) / 1_000_000;
         assertTrue(millis > 100 && millis < 350, "answered after " + millis);
-        assertEquals(1, origin.seen.size());
+        assertEquals(1, origin.requests.size());
     }
 
     @Test
     void anAnswerThatPassesThroughIsNotCutByTheTtlAndReachesItsClientAsItComes() throws Exception {
         CountDownLatch rest = new CountDownLatch(1);
-        cacheDoes = request -> "HTTP/1.1 200 OK;Content-Length: 200000;;" + "x".repeat(100_000);
+        cacheHandler = request -> "HTTP/1.1 200 OK;Content-Length: 200000;;" + "x".repeat(100_000);
         start();
         daemon(
                 () -> {
@@ -153,7 +155,7 @@
         Thread.sleep(500);
         rest.countDown();
         assertEquals(100_000, answer.body().readAllBytes().length);
-        assertEquals(1, cache.seen.size());
+        assertEquals(1, cache.requests.size());
     }
 
     @ParameterizedTest
@@ -163,7 +165,7 @@
                 "HTTP/1.1 200 OK;Transfer-Encoding: chunked;;186a1;"
             })
     void anAnswerThatBreaksOffEndsSoThatItsClientCanTell(String head) throws Exception {
-        cacheDoes = request -> CLOSING + head + "x".repeat(100_000);
+        cacheHandler = request -> ANSWER_AND_CLOSE + head + "x".repeat(100_000);
         start();
         assertThrows(
                 IOException.class,
@@ -171,14 +173,14 @@
                         web.send(
                                 request("/view/1", 900).build(),
                                 HttpResponse.BodyHandlers.ofString()));
-        assertEquals(1, cache.seen.size());
+        assertEquals(1, cache.requests.size());
     }
 
     @Test
     void aClientThatDoesNotReadHoldsTheNodeBack() throws Exception {
         int size = 40_000_000; // More than all buffers of the system between node and client hold.
         CountDownLatch given = new CountDownLatch(1);
-        cacheDoes =
+        cacheHandler =
                 request -> {
                     try {
                         cache.connections
@@ -209,7 +211,7 @@
     @Test
     void aBodyThatIsLostIsPushedAgainOnlyIfNothingOfItWentOut() throws Exception {
         AtomicInteger pushes = new AtomicInteger();
-        originDoes = request -> pushes.incrementAndGet() == 1 ? "503 Full|X-Never-Ran: 1|" : HIT;
+        originHandler = request -> pushes.incrementAndGet() == 1 ? "503 Full|X-Never-Ran: 1|" : HIT;
         start();
         HttpRequest.Builder put =
                 request("/loan/1", 900).PUT(HttpRequest.BodyPublishers.ofString(text(200_000)));
@@ -222,11 +224,11 @@
     @ValueSource(strings = {"Content-Length: 60000000;;", "Transfer-Encoding: chunked;;FFFFFFFF;"})
     void aBodyWithoutMeasureIsRefusedInTime(String head) throws Exception {
         start();
-        Socket rude = client();
+        Socket rude = connectClient();
         long begun = System.nanoTime();
         rude.getOutputStream()
                 .write(
-                        ("PUT /loan/1 HTTP/1.1\r\n" + ttl(900) + head.replace(";", "\r\n"))
+                        ("PUT /loan/1 HTTP/1.1\r\n" + ttlHeader(900) + head.replace(";", "\r\n"))
                                 .getBytes(StandardCharsets.ISO_8859_1));
         assertThrows(
                 IOException.class,
@@ -249,7 +251,10 @@
     @Test
     void theAbsoluteFormOfATargetIsTaken() throws Exception {
         start();
-        assertEquals(200, code(ask("GET http://app.svc/view/1?a=2", ttl(800), "")));
-        assertTrue(cache.seen.get(0).startsWith("GET /view/1?a=2 HTTP/1.1\r\n"), cache.seen.get(0));
+        assertEquals(
+                200, statusCode(sendRequest("GET http://app.svc/view/1?a=2", ttlHeader(800), "")));
+        assertTrue(
+                cache.requests.get(0).startsWith("GET /view/1?a=2 HTTP/1.1\r\n"),
+                cache.requests.get(0));
     }
 }
--- a/src/test/java/cairnbridge/proxy/WaitingTest.java
+++ b/src/test/java/cairnbridge/proxy/WaitingTest.java
@@ -23,17 +23,17 @@
 class WaitingTest {
     @Test
     void whoFindsTheInboxFullSleepsUntilItsOwnerTakesAndNothingIsLostOrTurned() throws Exception {
-        Inbox inbox = new Inbox(2);
+        EventQueue inbox = new EventQueue(2);
         Thread poster =
-                Stories.daemon(
+                ProxyTestSupport.daemon(
                         () -> {
                             for (int i = 0; i < 5; i++) {
                                 inbox.post(notice(i));
                             }
                             return null;
                         });
-        Stories.until(() -> poster.getState() == Thread.State.WAITING);
-        inbox.first(notice(9));
+        ProxyTestSupport.waitUntil(() -> poster.getState() == Thread.State.WAITING);
+        inbox.postUrgent(notice(9));
         assertEquals(9, number(inbox.poll()), "what staff wait for goes before a full queue");
         for (int i = 0; i < 5; i++) {
             assertEquals(i, number(inbox.poll(TimeUnit.SECONDS.toNanos(10))));
@@ -43,18 +43,21 @@
 
     @Test
     void anIdleOwnerSleepsAndIsWokenByWhatIsUrgent() throws Exception {
-        Inbox inbox = new Inbox(2);
+        EventQueue inbox = new EventQueue(2);
         CompletableFuture<Integer> got = new CompletableFuture<>();
         Thread owner =
-                Stories.daemon(
+                ProxyTestSupport.daemon(
                         () -> {
-                            Notice notice = inbox.poll(TimeUnit.SECONDS.toNanos(15));
+                            ProxyEvent notice = inbox.poll(TimeUnit.SECONDS.toNanos(15));
                             got.complete(
-                                    number(notice instanceof Notice.Woken ? inbox.poll() : notice));
+                                    number(
+                                            notice instanceof ProxyEvent.QueueWakeup
+                                                    ? inbox.poll()
+                                                    : notice));
                             return null;
                         });
-        Stories.until(() -> owner.getState() == Thread.State.TIMED_WAITING);
-        inbox.first(notice(7));
+        ProxyTestSupport.waitUntil(() -> owner.getState() == Thread.State.TIMED_WAITING);
+        inbox.postUrgent(notice(7));
         assertEquals(7, got.get(10, TimeUnit.SECONDS));
     }
 
@@ -63,8 +66,8 @@
         AtomicBoolean mayTake = new AtomicBoolean();
         AtomicInteger asked = new AtomicInteger();
         CountDownLatch taken = new CountDownLatch(3);
-        Accept accept =
-                new Accept(
+        Acceptor accept =
+                new Acceptor(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         16,
                         () -> {
@@ -73,7 +76,7 @@
                         },
                         channel -> taken.countDown());
         Thread thread =
-                Stories.daemon(
+                ProxyTestSupport.daemon(
                         () -> {
                             accept.run();
                             return null;
@@ -82,7 +85,7 @@
         for (int i = 0; i < clients.length; i++) {
             clients[i] = new Socket(accept.address().getAddress(), accept.address().getPort());
         }
-        Stories.until(() -> asked.get() > 0);
+        ProxyTestSupport.waitUntil(() -> asked.get() > 0);
         long from = System.nanoTime();
         int first = asked.get();
         Thread.sleep(200);
@@ -93,7 +96,7 @@
         assertEquals(3, taken.getCount());
         mayTake.set(true);
         assertTrue(taken.await(10, TimeUnit.SECONDS));
-        Stories.until(() -> thread.getState() == Thread.State.RUNNABLE);
+        ProxyTestSupport.waitUntil(() -> thread.getState() == Thread.State.RUNNABLE);
         int idle = asked.get();
         Thread.sleep(50);
         assertTrue(asked.get() - idle <= 1, "an empty queue is not asked about");
@@ -103,11 +106,11 @@
         }
     }
 
-    private static Notice notice(int number) {
-        return new Notice.Held(new NodeId(number), true, null);
+    private static ProxyEvent notice(int number) {
+        return new ProxyEvent.NodeMaintenanceChanged(new NodeId(number), true, null);
     }
 
-    private static int number(Notice notice) {
-        return (int) ((Notice.Held) notice).node().value();
+    private static int number(ProxyEvent notice) {
+        return (int) ((ProxyEvent.NodeMaintenanceChanged) notice).node().value();
     }
 }
