--- a/src/main/java/cairnbridge/decision/Heat.java
+++ b/src/main/java/cairnbridge/decision/KeyPopularity.java
@@ -4,7 +4,7 @@
  * Counts of lately asked keys in a few slots, halved now and then; of more caches, more ops are
  * kept.
  */
-final class Heat {
+final class KeyPopularity {
     private static final int SLOTS = 4096;
     private static final int FEW = 4, MOST = 512;
 
--- a/src/main/java/cairnbridge/decision/Spans.java
+++ b/src/main/java/cairnbridge/decision/LatencyHistogram.java
@@ -3,7 +3,7 @@
 /**
  * A coarse histogram of spans: bins grow by the square root of two; halved when it has seen enough.
  */
-final class Spans {
+final class LatencyHistogram {
     private static final int BINS = 40;
     private static final int ENOUGH = 400;
     private final int[] bins = new int[BINS];
--- a/src/main/java/cairnbridge/decision/Reports.java
+++ b/src/main/java/cairnbridge/decision/LoadReports.java
@@ -6,7 +6,7 @@
  * Reads load reports by the meaning of their columns; a figure that is absent or cannot be is below
  * 0.
  */
-final class Reports {
+final class LoadReports {
     private static final double UNKNOWN = -1,
             SECOND = 10_000,
             MILLI = 10,
@@ -14,7 +14,7 @@
             CROWDED = 0.5;
     private final int held, rate, latency, busy, width;
 
-    Reports(List<String> columns) {
+    LoadReports(List<String> columns) {
         held = columns.indexOf("inflight");
         rate = columns.indexOf("qps");
         latency = columns.indexOf("latency_ms");
--- a/src/main/java/cairnbridge/decision/Loop.java
+++ b/src/main/java/cairnbridge/decision/MessageLoop.java
@@ -9,24 +9,24 @@
  * Carries notes between the parts of one router: into inboxes now, or when a timer of the host
  * fires.
  */
-final class Loop {
-    private record Wake(Part to, Note note) {}
+final class MessageLoop {
+    private record Wake(RouterComponent to, RouterMessage note) {}
 
     private final Host host;
-    private final ArrayDeque<Part> ready = new ArrayDeque<>();
+    private final ArrayDeque<RouterComponent> ready = new ArrayDeque<>();
     private final Map<Long, Wake> wakes = new HashMap<>();
     private long lastTimer;
 
-    Loop(Host host) {
+    MessageLoop(Host host) {
         this.host = host;
     }
 
-    void post(Part to, Note note) {
+    void post(RouterComponent to, RouterMessage note) {
         to.inbox.add(note);
         ready.add(to);
     }
 
-    void wake(Part to, long in, Note note) {
+    void wake(RouterComponent to, long in, RouterMessage note) {
         wakes.put(++lastTimer, new Wake(to, note));
         host.startTimer(Math.max(1, in), new TimerId(lastTimer));
     }
@@ -40,7 +40,7 @@
 
     /** Hands notes out in the order of their posting until every inbox is empty. */
     void empty() {
-        for (Part part = ready.poll(); part != null; part = ready.poll()) {
+        for (RouterComponent part = ready.poll(); part != null; part = ready.poll()) {
             part.take(part.inbox.poll());
         }
     }
--- a/src/main/java/cairnbridge/decision/Mean.java
+++ b/src/main/java/cairnbridge/decision/MovingAverage.java
@@ -1,7 +1,7 @@
 package cairnbridge.decision;
 
 /** A mean that follows its samples: all alike at first, the later ones more once there are many. */
-final class Mean {
+final class MovingAverage {
     private static final int MANY = 64;
     double value;
     int seen;
--- a/src/main/java/cairnbridge/decision/Op.java
+++ b/src/main/java/cairnbridge/decision/Request.java
@@ -2,7 +2,7 @@
 
 import cairnbridge.decision.Ids.KeyId;
 import cairnbridge.decision.Ids.RequestId;
-import cairnbridge.decision.Router.Node;
+import cairnbridge.decision.Router.ServerNode;
 import cairnbridge.decision.Settings.DeduplicationScope;
 import cairnbridge.decision.Settings.Effect;
 import cairnbridge.hash.SplitMix64;
@@ -10,9 +10,9 @@
 import java.util.List;
 
 /** The record kept of one op from its arrival to the end of its last push. */
-final class Op {
+final class Request {
     final RequestId id;
-    final Plan plan;
+    final RequestPolicy plan;
     final KeyId key;
     final int tenant;
     final long point;
@@ -24,15 +24,15 @@
 
     final boolean write;
     final boolean repeat;
-    final List<Push> pushes = new ArrayList<>(2);
+    final List<Attempt> pushes = new ArrayList<>(2);
     double benefit;
     int open;
     boolean over;
     boolean streaming;
     boolean waiting;
-    Node missedAt;
+    ServerNode missedAt;
 
-    Op(Event.RequestArrived event, Plan plan, long now) {
+    Request(Event.RequestArrived event, RequestPolicy plan, long now) {
         id = event.request();
         this.plan = plan;
         key = event.key();
@@ -51,7 +51,7 @@
     }
 
     boolean mayHaveRun() {
-        for (Push push : pushes) {
+        for (Attempt push : pushes) {
             if (push.mayHaveRun) {
                 return true;
             }
@@ -65,7 +65,7 @@
      */
     long latestBegin(long tick) {
         long latest = expires - tick;
-        for (Push push : pushes) {
+        for (Attempt push : pushes) {
             if (push.mayHaveRun && plan.effect() == Effect.DEDUPLICATED) {
                 latest = Math.min(latest, push.sent + plan.span() - tick);
             }
@@ -73,8 +73,8 @@
         return latest;
     }
 
-    boolean triedAt(Node node) {
-        for (Push push : pushes) {
+    boolean triedAt(ServerNode node) {
+        for (Attempt push : pushes) {
             if (push.node == node) {
                 return true;
             }
@@ -83,24 +83,24 @@
     }
 
     /** What decisions use of a category. */
-    record Plan(
+    record RequestPolicy(
             Effect effect,
             DeduplicationScope group,
             long span,
             long target,
             double benefit,
             boolean lateCounts,
-            Spans hits,
+            LatencyHistogram hits,
             Settings.Category category) {
-        static Plan of(Settings.Category c) {
-            return new Plan(
+        static RequestPolicy of(Settings.Category c) {
+            return new RequestPolicy(
                     c.effect(),
                     c.deduplicationScope(),
                     c.deduplicationWindow(),
                     c.latencyObjective(),
                     c.priorityWeight(),
                     c.latePriorityWeight() > 0,
-                    new Spans(),
+                    new LatencyHistogram(),
                     c);
         }
 
@@ -114,14 +114,14 @@
     }
 
     /** One push of the op; until its end is known it may have run. */
-    static final class Push {
-        final Node node;
+    static final class Attempt {
+        final ServerNode node;
         final long sent;
         final boolean fetch;
         boolean open = true;
         boolean mayHaveRun = true;
 
-        Push(Node node, long sent, boolean fetch) {
+        Attempt(ServerNode node, long sent, boolean fetch) {
             this.node = node;
             this.sent = sent;
             this.fetch = fetch;
@@ -129,8 +129,8 @@
     }
 
     /** One fetch of a key from the origin: who leads it, and who waits for what it brings. */
-    static final class Fetch {
-        final List<Op> followers = new ArrayList<>(2);
-        Op leader;
+    static final class CoalescedFetch {
+        final List<Request> followers = new ArrayList<>(2);
+        Request leader;
     }
 }
--- a/src/main/java/cairnbridge/decision/Points.java
+++ b/src/main/java/cairnbridge/decision/RingPoints.java
@@ -8,7 +8,7 @@
  * that owns the point and the point's rank among that node's own. Changed in place: a list change
  * costs one pass.
  */
-final class Points {
+final class RingPoints {
     private static final int RANK_BITS = 10, LOW_BITS = 26;
     static final int MOST_RANKS = 1 << RANK_BITS;
     private static final long PLACE = -1L << LOW_BITS;
--- a/src/main/java/cairnbridge/decision/Router.java
+++ b/src/main/java/cairnbridge/decision/Router.java
@@ -2,8 +2,8 @@
 
 import cairnbridge.decision.Event.*;
 import cairnbridge.decision.Ids.*;
-import cairnbridge.decision.Note.What;
-import cairnbridge.decision.Op.*;
+import cairnbridge.decision.RouterMessage.What;
+import cairnbridge.decision.Request.*;
 import cairnbridge.decision.Settings.*;
 import java.util.*;
 import java.util.random.*;
@@ -28,16 +28,16 @@
 
     private final Host host;
     private final RandomGenerator chance;
-    private final Loop loop;
-    private final Map<NodeId, Node> nodes = new TreeMap<>(Comparator.comparingLong(NodeId::value));
+    private final MessageLoop loop;
+    private final Map<NodeId, ServerNode> nodes = new TreeMap<>(Comparator.comparingLong(NodeId::value));
     /** Taken out by hand, and since when; kept apart from the list, which knows nothing of it. */
     private final Map<NodeId, Long> held = new HashMap<>();
-    private final Ring ring;
-    private final Origin origin;
-    private final Admission admission;
-    private final OpDesk desk;
-    private final Gate gate;
-    private final Reports reports;
+    private final HashRing ring;
+    private final OriginLimiter origin;
+    private final AdmissionControl admission;
+    private final RequestTable desk;
+    private final Dispatcher gate;
+    private final LoadReports reports;
     private final WarmStartState before;
     private final Settings settings;
     /** Among how many what is shared out is divided: as configured, or as a view of the fleet tells. */
@@ -49,18 +49,18 @@
     public Router(Settings settings, long seed, long clock, Host host, WarmStartState before) {
         this.before = before;
         this.host = host;
-        this.loop = new Loop(host);
+        this.loop = new MessageLoop(host);
         this.now = clock;
         this.settings = settings;
         this.proxies = Math.max(1, settings.proxies());
         this.chance = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-        this.reports = new Reports(settings.reportColumns());
-        this.ring = new Ring();
-        this.gate = new Gate(settings);
-        this.origin = new Origin(settings);
-        this.admission = new Admission(settings);
-        this.desk = new OpDesk(settings);
-        loop.wake(desk, BEAT, new Note(What.BEAT, 0));
+        this.reports = new LoadReports(settings.reportColumns());
+        this.ring = new HashRing();
+        this.gate = new Dispatcher(settings);
+        this.origin = new OriginLimiter(settings);
+        this.admission = new AdmissionControl(settings);
+        this.desk = new RequestTable(settings);
+        loop.wake(desk, BEAT, new RouterMessage(What.BEAT, 0));
         if (settings.mustSubscribe()) {
             host.subscribeToEndpoints(true);
         }
@@ -84,15 +84,15 @@
         if (event instanceof Event.TimerFired fired) {
             loop.fired(fired.timer());
         } else if (event instanceof Event.EndpointListReceived || event instanceof Event.MaintenanceChanged) {
-            loop.post(ring, new Note(event instanceof Event.MaintenanceChanged ? What.HELD : What.LISTED, event));
+            loop.post(ring, new RouterMessage(event instanceof Event.MaintenanceChanged ? What.HELD : What.LISTED, event));
         } else if (event instanceof Event.LiveProxyCountChanged living) {
             proxies = Math.max(1, living.count());
         } else if (event instanceof Event.PlacementChanged placed) {
             placement = placed.placement();
         } else if (event instanceof Event.NodeSuspected doubted && nodes.get(doubted.node()) != null) {
-            loop.post(nodes.get(doubted.node()), new Note(What.DOUBTED, event));
+            loop.post(nodes.get(doubted.node()), new RouterMessage(What.DOUBTED, event));
         } else {
-            loop.post(desk, new Note(What.EVENT, event));
+            loop.post(desk, new RouterMessage(What.EVENT, event));
         }
         loop.empty();
     }
@@ -103,7 +103,7 @@
     }
 
     /** An adaptive limit of ops in flight: rises while used, falls while many ends are late. */
-    private final class Limit {
+    private final class ConcurrencyLimit {
         private static final double LATE_SHARE = 0.25;
         private double level = 16, late;
         private long cutAt, endedAt;
@@ -143,18 +143,18 @@
     }
 
     /** One walk clockwise over the distinct nodes, carrying the cap and the least loaded node seen. */
-    private static final class Offer extends Note {
+    private static final class RingWalk extends RouterMessage {
         final double average;
         final boolean hot;
         private final ZoneId zone;
-        private final Ring ring;
+        private final HashRing ring;
         private final BitSet seen;
         private int at, left, unseen;
-        private final ArrayDeque<Node> early = new ArrayDeque<>();
-        Node least;
+        private final ArrayDeque<ServerNode> early = new ArrayDeque<>();
+        ServerNode least;
         double leastLoad = Double.MAX_VALUE;
 
-        Offer(Op op, Ring ring, Node first, double average, boolean hot, ZoneId zone) {
+        RingWalk(Request op, HashRing ring, ServerNode first, double average, boolean hot, ZoneId zone) {
             super(What.OFFER, op);
             this.zone = zone;
             this.ring = ring;
@@ -171,24 +171,24 @@
         }
 
         /** Starts at one of some neighbours, as chance has it; the others are asked next. */
-        Node start(Node home, int spread, RandomGenerator chance) {
-            List<Node> some = new ArrayList<>();
-            for (Node node = home; node != null; node = some.size() < spread ? next() : null) {
+        ServerNode start(ServerNode home, int spread, RandomGenerator chance) {
+            List<ServerNode> some = new ArrayList<>();
+            for (ServerNode node = home; node != null; node = some.size() < spread ? next() : null) {
                 some.add(node);
             }
-            Node begin = some.remove(chance.nextInt(some.size()));
+            ServerNode begin = some.remove(chance.nextInt(some.size()));
             early.addAll(some);
             return begin;
         }
 
-        Node next() {
+        ServerNode next() {
             if (!early.isEmpty()) {
                 return early.poll();
             }
             for (; left > 0 && unseen > 0; left--) {
                 int here = at;
                 at = at + 1 == ring.points.size() ? 0 : at + 1;
-                Node node = ring.owners.get(ring.points.slot(here));
+                ServerNode node = ring.owners.get(ring.points.slot(here));
                 // A cold node's keys come back as it warms: points above its openness belong to the next.
                 if (!seen.get(node.slot) && ring.points.rank(here) <= node.openness * node.points
                         && (zone == null || zone.equals(node.entry.zone()))) {
@@ -202,27 +202,27 @@
             return null;
         }
 
-        private void see(Node node) {
+        private void see(ServerNode node) {
             seen.set(node.slot);
             unseen--;
         }
     }
 
     /** The points of all ready caches, the count in flight over them, and the members list. */
-    private final class Ring extends Part {
-        private final Points points = new Points();
+    private final class HashRing extends RouterComponent {
+        private final RingPoints points = new RingPoints();
         /** By slot; a slot that fell free is used again. */
-        private final List<Node> owners = new ArrayList<>();
+        private final List<ServerNode> owners = new ArrayList<>();
         /** The caches that are cold or lately answered late: only they change from beat to beat. */
-        private final List<Node> restless = new ArrayList<>();
+        private final List<ServerNode> restless = new ArrayList<>();
         private double weights, full, smoothed, usual;
         private int caches, inFlight, failures;
         private long pacedAt, toldAt, askAt;
-        private final Heat heat = new Heat();
+        private final KeyPopularity heat = new KeyPopularity();
         /** By machine kind, a nominal size's span of work as reports tell it: proxies see a node seldom. */
-        private final Map<MachineKind, Mean> kinds = new HashMap<>();
+        private final Map<MachineKind, MovingAverage> kinds = new HashMap<>();
 
-        @Override void take(Note note) {
+        @Override void take(RouterMessage note) {
             switch (note.what) {
                 case PLACE -> place(note.op, note.node);
                 case LOAD -> inFlight += note.number;
@@ -246,27 +246,27 @@
             weights = full;
             long avoided = held.keySet().stream().filter(nodes::containsKey).count();
             for (int i = restless.size() - 1; i >= 0; i--) {
-                Node node = restless.get(i);
+                ServerNode node = restless.get(i);
                 node.restless = node.slot >= 0 && (node.open() < node.pace || node.share < 1);
                 if (node.restless) {
                     avoided += node.share < AVOIDED ? 1 : 0;
                     weights -= node.weight * (node.pace - node.openness);
-                    loop.post(node, new Note(What.BEAT, 0));
+                    loop.post(node, new RouterMessage(What.BEAT, 0));
                 } else {
                     restless.remove(i);
                 }
             }
             host.avoidedNodeCountChanged((int) avoided);
-            loop.post(admission, new Note(What.BEAT, 0));
+            loop.post(admission, new RouterMessage(What.BEAT, 0));
         }
 
-        private void told(Node node, Event.AttemptEnded ended) {
+        private void told(ServerNode node, Event.AttemptEnded ended) {
             double span = reports.span(ended.loadReport());
             double work = reports.work(ended.loadReport()) * node.size;
             usual += (span - usual) * freshness(now - toldAt, 16);
             toldAt = now;
             if (work > 0) {
-                kinds.computeIfAbsent(node.entry.kind(), k -> new Mean()).add(work);
+                kinds.computeIfAbsent(node.entry.kind(), k -> new MovingAverage()).add(work);
             }
         }
 
@@ -276,8 +276,8 @@
             full = 0;
             double best = kinds.values().stream().filter(each -> each.seen >= ENOUGH)
                     .mapToDouble(each -> each.value).min().orElse(0);
-            for (Node node : nodes.values()) {
-                Mean kind = kinds.get(node.entry.kind());
+            for (ServerNode node : nodes.values()) {
+                MovingAverage kind = kinds.get(node.entry.kind());
                 double pace = kind == null || kind.seen < ENOUGH ? 1 : Math.max(0.25, best / kind.value);
                 if (Math.abs(pace - node.pace) > 0.1) {
                     node.pace = pace;
@@ -287,21 +287,21 @@
             }
         }
 
-        private void place(Op op, Node first) {
+        private void place(Request op, ServerNode first) {
             ZoneId zone = placement.zone(op.point, op.plan.category());
             double average = zone != null ? average(zone)
                     : weights <= 0 ? 0 : Math.max(inFlight, smoothed) / weights;
             boolean wide = origin.limit.level >= 1;
             double shares = heat.shares(op.point, caches, op.repeat, proxies > caches, wide);
-            Offer offer = new Offer(op, this, first, average, shares > HOT / 5, zone);
-            Node node = offer.next();
+            RingWalk offer = new RingWalk(op, this, first, average, shares > HOT / 5, zone);
+            ServerNode node = offer.next();
             // Guards against a key hotter than a cache, met by many: its ops start at one of some neighbours.
             int spread = Math.min(caches, (int) Math.ceil(shares / HOT));
             if (spread > 1 && first == null && node != null) {
                 node = offer.start(node, spread, chance);
             }
             if (node == null) {
-                loop.post(desk, new Note(What.STUCK, op, null, null, null, zone == null ? 0 : LONGEST));
+                loop.post(desk, new RouterMessage(What.STUCK, op, null, null, null, zone == null ? 0 : LONGEST));
             } else {
                 loop.post(node, offer);
             }
@@ -309,7 +309,7 @@
 
         /** Over the caches of one zone, where a plan keeps an op to that. */
         private double average(ZoneId zone) {
-            List<Node> some = owners.stream().filter(n -> n != null && n.entry.zone().equals(zone)).toList();
+            List<ServerNode> some = owners.stream().filter(n -> n != null && n.entry.zone().equals(zone)).toList();
             double weight = some.stream().mapToDouble(n -> n.weight * n.openness).sum();
             return weight <= 0 ? 0 : some.stream().mapToInt(n -> n.inFlight).sum() / weight;
         }
@@ -320,26 +320,26 @@
                 if (now >= askAt) {
                     long wait = BEAT + chance.nextLong(SECOND << Math.min(failures++, 2));
                     askAt = now + Math.min(wait, Math.max(BEAT, TimeBudget.maxListRetryWait(settings.askWithin())));
-                    loop.wake(this, askAt - now, new Note(What.SUBSCRIBE, 0));
+                    loop.wake(this, askAt - now, new RouterMessage(What.SUBSCRIBE, 0));
                 }
                 return;
             }
             failures = roster.scope() == ListScope.CACHED ? failures : 0;
             // Guards against a list that has lost its contents: what is held stays in use.
             if (roster.scope() != ListScope.CHANGES && !roster.endpoints().isEmpty()) {
-                for (Node node : nodes.values()) {
+                for (ServerNode node : nodes.values()) {
                     node.state = NodeState.GONE;
                 }
             }
             for (Endpoint entry : roster.endpoints()) {
-                nodes.computeIfAbsent(entry.node(), Node::new).enter(entry);
+                nodes.computeIfAbsent(entry.node(), ServerNode::new).enter(entry);
             }
             build();
         }
 
         /** Guards against a node restarted meanwhile, of which the list tells late: it comes back as cold. */
         private void hold(Event.MaintenanceChanged event) {
-            Node node = nodes.get(event.node());
+            ServerNode node = nodes.get(event.node());
             Long since = event.inMaintenance() ? held.putIfAbsent(event.node(), now) : held.remove(event.node());
             if (!event.inMaintenance() && since != null && node != null) {
                 node.restarted(node.started < since ? now : node.started);
@@ -353,10 +353,10 @@
             double sizes = 0;
             caches = 0;
             int fresh = 0;
-            for (Node node : nodes.values()) {
+            for (ServerNode node : nodes.values()) {
                 boolean on = node.serves() && !origin.is(node);
                 // Points follow the node's own size, not the fleet's mean, so that others' points stay put.
-                long count = Math.min(Points.MOST_RANKS, Math.round(POINTS * node.size));
+                long count = Math.min(RingPoints.MOST_RANKS, Math.round(POINTS * node.size));
                 long wanted = on ? Math.max(1, count) : 0;
                 if (wanted != node.points && node.slot >= 0) {
                     gone.set(node.slot);
@@ -369,7 +369,7 @@
                 caches += on ? 1 : 0;
             }
             long[] marks = new long[fresh];
-            for (Node node : nodes.values()) {
+            for (ServerNode node : nodes.values()) {
                 node.weight = sizes > 0 ? node.size * caches / sizes : 1;
                 if (node.points > 0 && node.slot < 0) {
                     if (!owners.contains(null)) {
@@ -378,7 +378,7 @@
                     node.slot = owners.indexOf(null);
                     owners.set(node.slot, node);
                     for (int i = 0; i < node.points; i++) {
-                        marks[--fresh] = Points.mark(Op.mix(Op.mix(node.id.value()) + i), node.slot, i);
+                        marks[--fresh] = RingPoints.mark(Request.mix(Request.mix(node.id.value()) + i), node.slot, i);
                     }
                     node.stir();
                 }
@@ -386,14 +386,14 @@
             points.change(gone, marks);
             // Guards against memory that grows with every node that ever was, as nodes come and go all day.
             nodes.values().removeIf(node -> node.state == NodeState.GONE && node.inFlight == 0);
-            loop.post(origin, new Note(What.MEMBERS, 0));
+            loop.post(origin, new RouterMessage(What.MEMBERS, 0));
             pace();
             beat();
         }
     }
 
     /** One server: its count in flight, its health and its warmth. */
-    final class Node extends Part {
+    final class ServerNode extends RouterComponent {
         final NodeId id;
         NodeState state = NodeState.GONE;
         Endpoint entry;
@@ -409,7 +409,7 @@
         /** What an op lately took here, as reports and ends tell; believed less as it ages. */
         private double span;
 
-        Node(NodeId id) {
+        ServerNode(NodeId id) {
             this.id = id;
             WarmStartState.Trust trust = before.nodes().get(id);
             if (trust != null) {
@@ -446,9 +446,9 @@
             return openness;
         }
 
-        @Override void take(Note note) {
+        @Override void take(RouterMessage note) {
             switch (note.what) {
-                case OFFER -> weigh((Offer) note);
+                case OFFER -> weigh((RingWalk) note);
                 case TAKE -> accept(note.op);
                 case BEAT -> share = Math.min(1, share * 1.005 + 0.001);
                 case GHOST_GONE -> ghosts = Math.max(0, ghosts - 1);
@@ -467,11 +467,11 @@
         private void stir() {
             if (!restless && slot >= 0) {
                 restless = true;
-                loop.post(ring, new Note(What.RESTLESS, null, this, null, null, 0));
+                loop.post(ring, new RouterMessage(What.RESTLESS, null, this, null, null, 0));
             }
         }
 
-        private void weigh(Offer offer) {
+        private void weigh(RingWalk offer) {
             double cap = Math.max(CAP_FLOOR, Math.ceil((1 + EPSILON) * offer.average * weight * openness));
             int load = inFlight + ghosts;
             // Guards against a hot key met by many proxies, each with too few in flight to reach its cap.
@@ -486,13 +486,13 @@
                 offer.least = this;
                 offer.leastLoad = burden;
             }
-            Node next = offer.next();
+            ServerNode next = offer.next();
             if (next != null) {
                 loop.post(next, offer);
             } else if (offer.least != null) {
-                loop.post(offer.least, new Note(What.TAKE, offer.op));
+                loop.post(offer.least, new RouterMessage(What.TAKE, offer.op));
             } else {
-                loop.post(desk, new Note(What.STUCK, offer.op));
+                loop.post(desk, new RouterMessage(What.STUCK, offer.op));
             }
         }
 
@@ -513,23 +513,23 @@
                 double seen = ended.outcome() == AttemptOutcome.SUCCESS ? ended.duration() : Math.max(told, ended.duration());
                 span += ((told + seen) / 2 - span) * (toldAt == 0 ? 1 : freshness(now - toldAt, 4));
                 toldAt = now;
-                loop.post(ring, new Note(What.TOLD, null, this, null, ended, 0));
+                loop.post(ring, new RouterMessage(What.TOLD, null, this, null, ended, 0));
             }
         }
 
-        private void accept(Op op) {
+        private void accept(Request op) {
             count(1);
-            loop.post(gate, new Note(What.SEND, op, this, null, null, 0));
+            loop.post(gate, new RouterMessage(What.SEND, op, this, null, null, 0));
         }
 
         private void count(int change) {
             inFlight += change;
             if (!origin.is(this)) {
-                loop.post(ring, new Note(What.LOAD, change));
+                loop.post(ring, new RouterMessage(What.LOAD, change));
             }
         }
 
-        private void judge(Op op, Event.AttemptEnded ended) {
+        private void judge(Request op, Event.AttemptEnded ended) {
             heard(ended);
             if (ended.outcome() != AttemptOutcome.NOT_SENT) {
                 boolean late = ended.duration() > op.plan.late() || ended.outcome() != AttemptOutcome.SUCCESS
@@ -550,32 +550,32 @@
                     badRun++;
                     ghosts++;
                     long spell = (BEAT / 2) << Math.min(badRun, MOST_DOUBLINGS);
-                    loop.wake(this, spell, new Note(What.GHOST_GONE, 0));
+                    loop.wake(this, spell, new RouterMessage(What.GHOST_GONE, 0));
                 }
             }
         }
     }
 
     /** The shared store behind the caches: off the ring, with its own limit and a short queue. */
-    private final class Origin extends Part {
+    private final class OriginLimiter extends RouterComponent {
         private final boolean aside;
         private final MachineKind kind;
-        private final Limit limit = new Limit();
-        private final List<Op> queue = new ArrayList<>();
-        private final Map<KeyId, Fetch> fetches = new HashMap<>();
-        private List<Node> members = List.of();
+        private final ConcurrencyLimit limit = new ConcurrencyLimit();
+        private final List<Request> queue = new ArrayList<>();
+        private final Map<KeyId, CoalescedFetch> fetches = new HashMap<>();
+        private List<ServerNode> members = List.of();
         private final double dearest;
         private double typical;
         private int inFlight;
 
-        Origin(Settings settings) {
+        OriginLimiter(Settings settings) {
             aside = settings.aside();
             kind = settings.originKind();
             typical = before.originLatency() * fading();
             dearest = settings.categories().stream().mapToDouble(c -> c.priorityWeight()).max().orElse(1);
         }
 
-        boolean is(Node node) {
+        boolean is(ServerNode node) {
             return aside && node.entry.kind().equals(kind);
         }
 
@@ -584,7 +584,7 @@
             return key != null && fetches.containsKey(key);
         }
 
-        @Override void take(Note note) {
+        @Override void take(RouterMessage note) {
             switch (note.what) {
                 case WANT -> want(note.op);
                 case ENDED -> ended(note.op, (Event.AttemptEnded) note.event);
@@ -607,14 +607,14 @@
             pump();
         }
 
-        private void want(Op op) {
+        private void want(Request op) {
             if (members.isEmpty()) {
-                loop.post(desk, new Note(What.STUCK, op));
+                loop.post(desk, new RouterMessage(What.STUCK, op));
                 return;
             }
             op.waiting = true;
             if (!op.write && op.key != null) {
-                Fetch fetch = fetches.computeIfAbsent(op.key, k -> new Fetch());
+                CoalescedFetch fetch = fetches.computeIfAbsent(op.key, k -> new CoalescedFetch());
                 if (fetch.leader != null && fetch.leader != op) {
                     // Guards against ops held until their TTL for a fetch that takes longer than they have.
                     if (op.useful - now <= typical) {
@@ -639,7 +639,7 @@
         /** Sends from the queue while the limit allows, dearest first; those that cannot make it give up. */
         private void pump() {
             for (int i = queue.size() - 1; i >= 0; i--) {
-                Op op = queue.get(i);
+                Request op = queue.get(i);
                 if (op.useful - now <= typical) {
                     queue.remove(i);
                     drop(op);
@@ -647,22 +647,22 @@
             }
             double most = Math.max(1, Math.floor(limit.level));
             while (inFlight < most && !queue.isEmpty() && !members.isEmpty()) {
-                Op op = Collections.max(queue, Comparator.comparingDouble(each -> each.benefit));
+                Request op = Collections.max(queue, Comparator.comparingDouble(each -> each.benefit));
                 queue.remove(op);
-                Node node = Collections.min(members, Comparator.comparingInt(each -> each.inFlight));
+                ServerNode node = Collections.min(members, Comparator.comparingInt(each -> each.inFlight));
                 inFlight++;
                 op.waiting = false;
-                loop.post(node, new Note(What.TAKE, op));
+                loop.post(node, new RouterMessage(What.TAKE, op));
             }
         }
 
-        private void drop(Op op) {
+        private void drop(Request op) {
             op.waiting = false;
             settle(op, false);
-            loop.post(desk, new Note(What.GIVE_UP, op, null, null, null, SECOND));
+            loop.post(desk, new RouterMessage(What.GIVE_UP, op, null, null, null, SECOND));
         }
 
-        private void ended(Op op, Event.AttemptEnded ended) {
+        private void ended(Request op, Event.AttemptEnded ended) {
             inFlight--;
             boolean acked = ended.outcome() == AttemptOutcome.SUCCESS;
             boolean late = ended.duration() > (op.useful - op.arrived) / 2;
@@ -678,16 +678,16 @@
         }
 
         /** The fetch that op led has ended: followers ask the cache where it landed, or try themselves. */
-        private void settle(Op op, boolean landed) {
-            Fetch fetch = op.write || op.key == null ? null : fetches.get(op.key);
+        private void settle(Request op, boolean landed) {
+            CoalescedFetch fetch = op.write || op.key == null ? null : fetches.get(op.key);
             if (fetch == null || fetch.leader != op) {
                 return;
             }
             fetches.remove(op.key);
-            for (Op follower : fetch.followers) {
+            for (Request follower : fetch.followers) {
                 follower.waiting = false;
                 if (!follower.over) {
-                    loop.post(landed ? ring : this, new Note(landed ? What.PLACE : What.WANT, follower,
+                    loop.post(landed ? ring : this, new RouterMessage(landed ? What.PLACE : What.WANT, follower,
                             op.missedAt, null, null, 0));
                 }
             }
@@ -695,7 +695,7 @@
     }
 
     /** Tells ops within a tenant's share from those beyond it, and sheds while the fleet runs late. */
-    private final class Admission extends Part {
+    private final class AdmissionControl extends RouterComponent {
         /** Of all and of excess: mark of a jam and of its end, ease of a small bound. */
         private static final double[] JAMMED = {3, 2.2}, RELIEVED = {3, 1.1}, EASE = {3, 0};
         private static final double UNEVEN = 1.3, MOST_TIMES = 8, FEW_OPS = 5;
@@ -707,7 +707,7 @@
         private final boolean[] jammed = new boolean[2];
         private long filledAt = now;
 
-        Admission(Settings settings) {
+        AdmissionControl(Settings settings) {
             quotas = new double[settings.tenants().size()];
             tokens = new double[quotas.length];
             parts = new double[quotas.length];
@@ -720,7 +720,7 @@
             }
         }
 
-        @Override void take(Note note) {
+        @Override void take(RouterMessage note) {
             if (note.what == What.ASK) {
                 ask(note.op);
                 return;
@@ -760,7 +760,7 @@
             }
         }
 
-        private void ask(Op op) {
+        private void ask(Request op) {
             boolean excess = excess(op.tenant);
             if (excess) {
                 op.benefit *= settings.excessBenefit();
@@ -768,9 +768,9 @@
             // Where the room is under one op a proxy, its fraction is a chance.
             double level = levels[excess ? 1 : 0];
             if (ring.inFlight >= Math.max(1, level) || level < 1 && level <= chance.nextDouble()) {
-                loop.post(gate, new Note(What.GIVE_UP, op, null, null, null, LONGEST));
+                loop.post(gate, new RouterMessage(What.GIVE_UP, op, null, null, null, LONGEST));
             } else {
-                loop.post(desk, new Note(What.ADMITTED, op));
+                loop.post(desk, new RouterMessage(What.ADMITTED, op));
             }
         }
 
@@ -796,19 +796,19 @@
     }
 
     /** Owns every op from its arrival to the end of its last push. */
-    private final class OpDesk extends Part {
-        private final Plan[] plans;
-        private final Map<RequestId, Op> ops = new HashMap<>();
+    private final class RequestTable extends RouterComponent {
+        private final RequestPolicy[] plans;
+        private final Map<RequestId, Request> ops = new HashMap<>();
         private final long margin;
         private double retries = RETRY_BURST;
 
-        OpDesk(Settings settings) {
-            plans = settings.categories().stream().map(Plan::of).toArray(Plan[]::new);
+        RequestTable(Settings settings) {
+            plans = settings.categories().stream().map(RequestPolicy::of).toArray(RequestPolicy[]::new);
             margin = 2 * settings.tick();
         }
 
-        @Override void take(Note note) {
-            Op op = note.op;
+        @Override void take(RouterMessage note) {
+            Request op = note.op;
             switch (note.what) {
                 case EVENT -> told(note.event);
                 case ADMITTED -> route(op);
@@ -818,7 +818,7 @@
                 case STUCK, GIVE_UP -> {
                     if (op.open == 0) {
                         long advice = Math.max(BEAT, note.number);
-                        loop.post(gate, new Note(What.GIVE_UP, op, null, null, null, advice));
+                        loop.post(gate, new RouterMessage(What.GIVE_UP, op, null, null, null, advice));
                     }
                 }
                 case EXPIRE -> {
@@ -844,61 +844,61 @@
             } else if (event instanceof Event.ShutdownScheduled stop) {
                 // Guards against ops that would outlast the process: they are answered as at their TTL.
                 long left = Math.max(0, stop.deadline() - margin - now);
-                ops.values().forEach(op -> loop.wake(this, left, Note.expiry(op, LONGEST)));
+                ops.values().forEach(op -> loop.wake(this, left, RouterMessage.expiry(op, LONGEST)));
             } else if (event instanceof Event.StreamingStarted began && ops.get(began.request()) != null) {
                 ops.get(began.request()).streaming = true;
-                loop.post(origin, new Note(What.BEGUN, ops.get(began.request())));
+                loop.post(origin, new RouterMessage(What.BEGUN, ops.get(began.request())));
             }
         }
 
         private void arrived(Event.RequestArrived event) {
             int category = event.category().value();
-            Op op = new Op(event, plans[Math.max(0, Math.min(plans.length - 1, category))], now);
+            Request op = new Request(event, plans[Math.max(0, Math.min(plans.length - 1, category))], now);
             ops.put(op.id, op);
             retries = Math.min(RETRY_BURST, retries + RETRY_SHARE);
             if (op.expires - now <= margin) {
-                loop.post(gate, new Note(What.GIVE_UP, op));
+                loop.post(gate, new RouterMessage(What.GIVE_UP, op));
                 return;
             }
-            loop.wake(this, op.expires - now - margin, Note.expiry(op, LONGEST));
-            loop.post(admission, new Note(What.ASK, op));
+            loop.wake(this, op.expires - now - margin, RouterMessage.expiry(op, LONGEST));
+            loop.post(admission, new RouterMessage(What.ASK, op));
         }
 
-        private void route(Op op) {
+        private void route(Request op) {
             boolean toOrigin = origin.aside && (op.write || origin.fetching(op.key));
-            loop.post(toOrigin ? origin : ring, new Note(toOrigin ? What.WANT : What.PLACE, op));
+            loop.post(toOrigin ? origin : ring, new RouterMessage(toOrigin ? What.WANT : What.PLACE, op));
         }
 
         /** When a push outlasts nearly all others of its category, a second copy may go elsewhere. */
-        private void sent(Op op, Push push) {
+        private void sent(Request op, Attempt push) {
             if (push.fetch || !settings.maySecondCopy() || op.plan.effect() != Effect.IDEMPOTENT) {
                 return;
             }
             long most = Math.max(op.plan.target() / 2, 5 * op.plan.hits().floor());
             long patience = Math.min(most, 2 * op.plan.hits().quantile(0.95, op.plan.target() / 4));
             if (op.expires - now > patience + op.plan.hits().quantile(0.5, 0)) {
-                loop.wake(this, patience, new Note(What.IMPATIENT, op, push.node, push, null, 0));
+                loop.wake(this, patience, new RouterMessage(What.IMPATIENT, op, push.node, push, null, 0));
             }
         }
 
-        private void impatient(Op op, Push push) {
+        private void impatient(Request op, Attempt push) {
             if (!op.over && !op.streaming && op.open == 1 && push.open && retries >= 1) {
                 retries--;
-                loop.post(ring, new Note(What.PLACE, op));
+                loop.post(ring, new RouterMessage(What.PLACE, op));
             }
         }
 
         private void ended(Event.AttemptEnded event) {
-            Op op = ops.get(event.request());
+            Request op = ops.get(event.request());
             if (op == null || event.attempt() < 0 || event.attempt() >= op.pushes.size()
                     || !op.pushes.get(event.attempt()).open) {
                 return;
             }
-            Push push = op.pushes.get(event.attempt());
+            Attempt push = op.pushes.get(event.attempt());
             push.open = false;
             push.mayHaveRun = !event.outcome().provesNotExecuted;
             op.open--;
-            Note ended = new Note(What.ENDED, op, push.node, push, event, 0);
+            RouterMessage ended = new RouterMessage(What.ENDED, op, push.node, push, event, 0);
             loop.post(push.node, ended);
             if (push.fetch) {
                 loop.post(origin, ended);
@@ -912,40 +912,40 @@
                 finish(op);
             } else if (event.outcome() == AttemptOutcome.CACHE_MISS) {
                 op.missedAt = op.missedAt == null ? push.node : op.missedAt;
-                loop.post(origin, new Note(What.WANT, op));
+                loop.post(origin, new RouterMessage(What.WANT, op));
             } else {
                 again(op, push, event.outcome().reachedNoNode() ? 0 : 1);
             }
         }
 
         /** A push ended without an answer: try elsewhere if rules, time and budget allow, else say so. */
-        private void again(Op op, Push push, int cost) {
+        private void again(Request op, Attempt push, int cost) {
             if (op.open > 0 || op.waiting) {
                 return;
             }
             boolean time = op.expires - now - margin > op.plan.hits().quantile(0.25, 0);
             if (time && retries >= cost && gate.mayPush(op)) {
                 retries -= cost;
-                loop.post(push.fetch ? origin : ring, new Note(push.fetch ? What.WANT : What.PLACE, op));
+                loop.post(push.fetch ? origin : ring, new RouterMessage(push.fetch ? What.WANT : What.PLACE, op));
             } else {
-                loop.post(gate, new Note(What.GIVE_UP, op, null, null, null, BEAT));
+                loop.post(gate, new RouterMessage(What.GIVE_UP, op, null, null, null, BEAT));
             }
         }
 
-        private void finish(Op op) {
+        private void finish(Request op) {
             op.over = true;
             if (op.waiting) {
-                loop.post(origin, new Note(What.FORGET, op));
+                loop.post(origin, new RouterMessage(What.FORGET, op));
             }
             if (op.open == 0) {
                 ops.remove(op.id);
             }
-            loop.post(gate, new Note(What.CALL_OFF, op));
+            loop.post(gate, new RouterMessage(What.CALL_OFF, op));
         }
     }
 
     /** The four rules. Every push and every final answer passes here, and nowhere else are they made. */
-    private final class Gate extends Part {
+    private final class Dispatcher extends RouterComponent {
         private final long maxAdvice, tick, fallSpan;
         private final double coldBudget;
         private final long begun = now;
@@ -953,14 +953,14 @@
         private double sends;
         private long countedAt;
 
-        Gate(Settings settings) {
+        Dispatcher(Settings settings) {
             maxAdvice = settings.mayAdviseRetry() ? settings.maxRetryAfter() : 0;
             tick = settings.tick();
             coldBudget = settings.fallMultiple() > 0 ? Math.max(0.5, settings.fallMultiple() / 2) : 1e9;
             fallSpan = Math.max(1, settings.fallSpan());
         }
 
-        @Override void take(Note note) {
+        @Override void take(RouterMessage note) {
             switch (note.what) {
                 case SEND -> send(note.op, note.node);
                 case CALL_OFF -> callOff(note.op);
@@ -968,38 +968,38 @@
             }
         }
 
-        private void send(Op op, Node node) {
+        private void send(Request op, ServerNode node) {
             boolean fetch = origin.is(node);
             if (!mayPush(op) || !mayPushTo(op, node)) {
-                loop.post(node, new Note(What.VETOED, op));
+                loop.post(node, new RouterMessage(What.VETOED, op));
                 if (fetch) {
-                    loop.post(origin, new Note(What.VETOED, op));
+                    loop.post(origin, new RouterMessage(What.VETOED, op));
                 }
-                loop.post(desk, new Note(What.STUCK, op));
+                loop.post(desk, new RouterMessage(What.STUCK, op));
                 return;
             }
             long latest = op.latestBegin(tick);
-            Push push = new Push(node, now, fetch);
+            Attempt push = new Attempt(node, now, fetch);
             op.pushes.add(push);
             op.open++;
             node.coldLeft--;
             rate();
             sends += node.slot >= 0 ? 1 : 0;
             host.sendAttempt(op.id, node.id, 0, latest);
-            loop.post(desk, new Note(What.SENT, op, node, push, null, 0));
+            loop.post(desk, new RouterMessage(What.SENT, op, node, push, null, 0));
         }
 
         /** Rules 1 and 2, as far as they do not depend on the node. */
-        boolean mayPush(Op op) {
+        boolean mayPush(Request op) {
             boolean open = !op.over && !op.streaming && op.expires - now > tick
                     && op.pushes.size() < settings.mostPushes() && (settings.maySecondCopy() || op.open == 0);
             return open && (op.plan.effect() != Effect.AT_MOST_ONCE || !op.mayHaveRun());
         }
 
         /** Rule 2 for deduplicated ops (group and span), rule 3 (drains), rule 4 (cold nodes). */
-        private boolean mayPushTo(Op op, Node node) {
+        private boolean mayPushTo(Request op, ServerNode node) {
             boolean room = now < op.latestBegin(tick) && node.serves() && (origin.is(node) || coldRoom(node));
-            for (Push push : op.pushes) {
+            for (Attempt push : op.pushes) {
                 boolean same = switch (op.plan.group()) {
                     case ALL_NODES -> true;
                     case ZONE -> push.node.entry.zone().equals(node.entry.zone());
@@ -1011,7 +1011,7 @@
         }
 
         /** The one place of final answers; a nack is made only where a repeat is harmless. */
-        private void answer(Op op, long wanted) {
+        private void answer(Request op, long wanted) {
             long retryAfter = Math.min(maxAdvice, wanted);
             boolean harmless = switch (op.plan.effect()) {
                 case IDEMPOTENT -> true;
@@ -1027,10 +1027,10 @@
                 host.failPermanently(op.id);
             }
             op.over = true;
-            loop.post(desk, new Note(What.FINISH, op));
+            loop.post(desk, new RouterMessage(What.FINISH, op));
         }
 
-        private void callOff(Op op) {
+        private void callOff(Request op) {
             for (int i = 0; settings.mayCancel() && op.open > 0 && i < op.pushes.size(); i++) {
                 // An at-most-once op may still be carried out: calling it off would help nobody.
                 if (op.pushes.get(i).open && op.plan.effect() == Effect.IDEMPOTENT) {
@@ -1039,7 +1039,7 @@
             }
         }
 
-        double warmth(Node node) {
+        double warmth(ServerNode node) {
             if (node.started <= 0 || settings.warmUp() <= 0 || now >= node.started + settings.warmUp()) {
                 return 1;
             }
@@ -1048,7 +1048,7 @@
         }
 
         /** Rule 4: within one span a cold node gets no more than its share of what a warm one is sent. */
-        boolean coldRoom(Node node) {
+        boolean coldRoom(ServerNode node) {
             double warmth = warmth(node);
             if (warmth >= 1) {
                 return true;
--- a/src/main/java/cairnbridge/decision/Note.java
+++ b/src/main/java/cairnbridge/decision/RouterMessage.java
@@ -1,10 +1,10 @@
 package cairnbridge.decision;
 
-import cairnbridge.decision.Op.Push;
-import cairnbridge.decision.Router.Node;
+import cairnbridge.decision.Request.Attempt;
+import cairnbridge.decision.Router.ServerNode;
 
 /** What one part of the router tells another; the fields that a kind does not need are null. */
-class Note {
+class RouterMessage {
     enum What {
         EVENT,
         BEAT,
@@ -38,13 +38,13 @@
     }
 
     final What what;
-    final Op op;
-    final Node node;
-    final Push push;
+    final Request op;
+    final ServerNode node;
+    final Attempt push;
     final Event event;
     final long number;
 
-    Note(What what, Op op, Node node, Push push, Event event, long number) {
+    RouterMessage(What what, Request op, ServerNode node, Attempt push, Event event, long number) {
         this.what = what;
         this.op = op;
         this.node = node;
@@ -54,19 +54,19 @@
     }
 
     /** At the end of an op's time, with the advice for its client. */
-    static Note expiry(Op op, long advice) {
-        return new Note(What.EXPIRE, op, null, null, null, advice);
+    static RouterMessage expiry(Request op, long advice) {
+        return new RouterMessage(What.EXPIRE, op, null, null, null, advice);
     }
 
-    Note(What what, Op op) {
+    RouterMessage(What what, Request op) {
         this(what, op, null, null, null, 0);
     }
 
-    Note(What what, long number) {
+    RouterMessage(What what, long number) {
         this(what, null, null, null, null, number);
     }
 
-    Note(What what, Event event) {
+    RouterMessage(What what, Event event) {
         this(what, null, null, null, event, 0);
     }
 }
--- a/src/main/java/cairnbridge/zones/consensus/ConsensusMessage.java
+++ b/src/main/java/cairnbridge/zones/consensus/ConsensusMessage.java
@@ -14,7 +14,7 @@
      * The voter promises that.
      *
      * @param accepted the ballot that it accepted last; {@link Ballot#NONE} if there is none
-     * @param plan the plan that it accepted last; {@link Plan#EMPTY} if there is none
+     * @param plan the plan that it accepted last; {@link RequestPolicy#EMPTY} if there is none
      */
     record Promise(Ballot ballot, Ballot accepted, Plan plan) implements ConsensusMessage {}
 
--- a/src/test/java/cairnbridge/decision/ColdSumTest.java
+++ b/src/test/java/cairnbridge/decision/SlowStartSumTest.java
@@ -23,7 +23,7 @@
  * calls in one span only 2 root of N + 2 are chance. N is what the settings allow, a warm cache's
  * capacity taken as no more than it gets.
  */
-class ColdSumTest {
+class SlowStartSumTest {
     private static final int CACHES = 20;
     private static final int COLD = 21;
     private static final long STEP = SECOND / 100;
--- a/src/test/java/cairnbridge/decision/BoundsTest.java
+++ b/src/test/java/cairnbridge/decision/TimeBudgetTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** The waits that follow one another add up to less than the term that they are part of. */
-class BoundsTest {
+class TimeBudgetTest {
     private static final long IN_HAND =
             TimeBudget.NOTIFIED_MILLIS - TimeBudget.NOTIFIED_SLACK_MILLIS;
 
