--- a/src/main/java/cairnbridge/adapter/Adapter.java
+++ b/src/main/java/cairnbridge/adapter/Adapter.java
@@ -142,7 +142,7 @@
         Settings settings = settings(reader.object("params"));
         ActionWriter actions = new ActionWriter(out, id);
         Router router = new Router(settings, seed, now, actions, WarmStartState.EMPTY);
-        instances.put(id, new Instance(router, actions, settings.reportColumns().size()));
+        instances.put(id, new Instance(router, actions, settings.loadReportColumns().size()));
     }
 
     private Settings settings(JsonObject params) {
--- a/src/main/java/cairnbridge/config/SettingsReader.java
+++ b/src/main/java/cairnbridge/config/SettingsReader.java
@@ -34,38 +34,69 @@
     }
 
     private Settings settings() {
-        JsonObject limits = root.object("limits");
-        JsonObject rules = root.object("rules");
-        JsonObject domain = root.object("domain");
         return new Settings(
+                proxy(),
+                origin(),
+                discovery(),
+                slowStart(),
+                attempts(),
+                clients(),
+                prices(root.object("prices")),
+                root.object("load-info").texts("columns"),
+                categories(),
+                tenants());
+    }
+
+    private Settings.Proxy proxy() {
+        return new Settings.Proxy(
                 new PeerId((int) root.number("me", 0)),
-                (int) root.number("instances", 1),
                 new ZoneId((int) root.number("zone", 0)),
+                (int) root.number("instances", 1),
+                toTicksRoundedUp(root.number("granularity-s", 0.001)),
+                ticks(root.object("rules"), "answer-slack-s", 0));
+    }
+
+    private Settings.Origin origin() {
+        JsonObject domain = root.object("domain");
+        return new Settings.Origin(
                 domain.text("mode", "").equals("aside"),
                 new MachineKind((int) domain.number("origin-kind", -1)),
                 domain.number("origin-fall-multiple", 0),
-                ticks(domain, "origin-fall-s", 0),
+                ticks(domain, "origin-fall-s", 0));
+    }
+
+    private Settings.Discovery discovery() {
+        return new Settings.Discovery(
                 root.text("registry-mode", "").equals("subscribe"),
-                ticks(rules, "ask-within-s", 10),
-                toTicksRoundedUp(root.number("granularity-s", 0.001)),
-                ticks(rules, "answer-slack-s", 0),
+                ticks(root.object("rules"), "ask-within-s", 10));
+    }
+
+    private Settings.SlowStart slowStart() {
+        JsonObject rules = root.object("rules");
+        return new Settings.SlowStart(
                 rules.number("cold-from", 1),
                 toTicksRoundedUp(rules.number("warm-up-s", 0)),
                 rules.number("fall-multiple", 0),
-                toTicksRoundedUp(rules.number("fall-s", 0)),
+                toTicksRoundedUp(rules.number("fall-s", 0)));
+    }
+
+    private Settings.Attempts attempts() {
+        JsonObject limits = root.object("limits");
+        return new Settings.Attempts(
                 (int) limits.number("most-pushes", 1),
+                limits.flag("second-copies"),
                 limits.flag("cancel"),
                 limits.flag("may-probe"),
-                limits.flag("peer-messages"),
+                limits.flag("peer-messages"));
+    }
+
+    private Settings.Clients clients() {
+        JsonObject limits = root.object("limits");
+        return new Settings.Clients(
                 limits.flag("retry-after"),
-                limits.flag("second-copies"),
                 ticks(limits, "max-retry-after-s", 0),
-                root.number("excess-benefit", 1),
                 root.object("callers").flag("marks-retry"),
-                prices(root.object("prices")),
-                root.object("load-info").texts("columns"),
-                categories(),
-                tenants());
+                root.number("excess-benefit", 1));
     }
 
     private static Prices prices(JsonObject prices) {
--- a/src/main/java/cairnbridge/decision/Host.java
+++ b/src/main/java/cairnbridge/decision/Host.java
@@ -6,37 +6,45 @@
 import cairnbridge.decision.Ids.TimerId;
 
 /**
- * What a router may ask of the proxy it lives in. All times are spans in tenths of a millisecond.
- * Calls take effect in the order they are made, at the time of the event being handled.
+ * What a router may ask of the proxy it lives in. All durations are ticks. Calls take effect in the
+ * order they are made, at the time of the event being handled.
  */
 public interface Host {
     /**
-     * Starts a push; pushes of an op are numbered 0, 1, 2 ... in the order of these calls. Its last
-     * byte may leave before latestBegin, a time of the clock, or not at all.
+     * Starts an attempt; attempts of a request are numbered 0, 1, 2 ... in the order of these
+     * calls.
+     *
+     * @param latestStart a time of the clock: the last byte leaves before it or not at all
      */
-    void sendAttempt(RequestId op, NodeId node, long timeOut, long latestBegin);
+    void sendAttempt(RequestId request, NodeId node, long timeout, long latestStart);
 
-    void cancelAttempt(RequestId op, int push);
+    /** Cancels an attempt that is still open. */
+    void cancelAttempt(RequestId request, int attempt);
 
-    /** Final answer: turned away, trying again is harmless; retryAfter 0 gives no advice. */
-    void rejectRetryable(RequestId op, long retryAfter);
+    /** Final answer: rejected, a repeat is harmless; a retry-after of 0 gives no advice. */
+    void rejectRetryable(RequestId request, long retryAfter);
 
-    /** Final answer: dead letter, no promise about effects. */
-    void failPermanently(RequestId op);
+    /** Final answer: failed, with no promise about effects. */
+    void failPermanently(RequestId request);
 
-    void startTimer(long in, TimerId timer);
+    /** Starts a timer, which comes back as {@link Event.TimerFired}. */
+    void startTimer(long delay, TimerId timer);
 
+    /** Checks the health of a node, which comes back as {@link Event.HealthCheckEnded}. */
     void checkHealth(NodeId node);
 
     /** Sends a message to one peer, or to all of them when peer is null. */
     void sendToPeer(PeerId peer, byte[] body);
 
+    /** Asks discovery for the endpoint list and its changes, or no longer. */
     void subscribeToEndpoints(boolean on);
 
+    /** Asks discovery for the whole endpoint list once. */
     void fetchEndpointList();
 
-    /** How many nodes of the list get nothing, or little, by hand or by choice. */
-    void avoidedNodeCountChanged(int nodes);
+    /** Reports how many nodes of the list get nothing, or little, by maintenance or by choice. */
+    void avoidedNodeCountChanged(int count);
 
+    /** Writes a line to the log. */
     void log(String line);
 }
--- a/src/main/java/cairnbridge/decision/KeyPopularity.java
+++ b/src/main/java/cairnbridge/decision/KeyPopularity.java
@@ -1,40 +1,61 @@
 package cairnbridge.decision;
 
 /**
- * Counts of lately asked keys in a few slots, halved now and then; of more caches, more ops are
- * kept.
+ * Counts of lately requested keys in a few slots, halved now and then; with more caches, more
+ * requests are remembered.
  */
 final class KeyPopularity {
     private static final int SLOTS = 4096;
-    private static final int FEW = 4, MOST = 512;
+    private static final int MIN_COUNT = 4;
+    private static final int MIN_MEMORY = 512;
+    private static final int MEMORY_PER_CACHE = 4;
 
-    /** What a key is taken to have been asked, among so many ops, before anything is known. */
-    private static final double PRIOR = 1, PRIOR_OPS = 20;
+    /** How often a key counts as requested, among so many requests, before anything is known. */
+    private static final double PRIOR_COUNT = 1;
+
+    private static final double PRIOR_REQUESTS = 20;
 
     private final int[] counts = new int[SLOTS];
     private int total;
 
     /**
-     * How many times a cache's fair share of the traffic this key makes up: of many ops at the
-     * least, of few as far as is known. A client's repeat counts for nothing.
+     * Counts a request, and tells how many times a cache's fair share of the traffic its key makes
+     * up: of many requests at the least, of few as far as is known.
+     *
+     * @param isClientRetry a client that comes back says nothing of how often a key is requested
+     * @param seesFewRequests whether there are more proxies than caches
+     * @param originHasCapacity whether an unknown key may be fetched by several caches
      */
-    double shares(long point, int caches, boolean repeat, boolean few, boolean wide) {
-        // Guards against clients that come back at once: their repeats say nothing of how a key is
-        // asked for.
-        total += repeat ? 0 : 1;
-        if (total > Math.max(MOST, 4 * caches)) {
-            total = 0;
-            for (int i = 0; i < SLOTS; i++) {
-                total += counts[i] /= 2;
-            }
+    double shares(
+            long ringPoint,
+            int caches,
+            boolean isClientRetry,
+            boolean seesFewRequests,
+            boolean originHasCapacity) {
+        int increment = isClientRetry ? 0 : 1;
+        total += increment;
+        if (total > Math.max(MIN_MEMORY, MEMORY_PER_CACHE * caches)) {
+            halve();
         }
-        int count = counts[(int) (point & SLOTS - 1)] += repeat ? 0 : 1;
-        double sure = count - Math.sqrt(count);
+        int slot = (int) (ringPoint & (SLOTS - 1));
+        counts[slot] += increment;
+        int count = counts[slot];
+        double certain = count - Math.sqrt(count);
         // Guards against a hot key that is new to each of many proxies: it is spread from the
         // first.
-        if (few) {
-            return 2 * (sure + (wide ? PRIOR : 0)) * caches / (total + PRIOR_OPS);
+        if (seesFewRequests) {
+            double prior = originHasCapacity ? PRIOR_COUNT : 0;
+            return 2 * (certain + prior) * caches / (total + PRIOR_REQUESTS);
+        }
+        boolean isKnown = count >= MIN_COUNT && total >= 4 * MIN_COUNT;
+        return isKnown ? certain * caches / total : 0;
+    }
+
+    private void halve() {
+        total = 0;
+        for (int i = 0; i < SLOTS; i++) {
+            counts[i] /= 2;
+            total += counts[i];
         }
-        return count < FEW || total < 4 * FEW ? 0 : sure * caches / total;
     }
 }
--- a/src/main/java/cairnbridge/decision/LoadReports.java
+++ b/src/main/java/cairnbridge/decision/LoadReports.java
@@ -1,5 +1,6 @@
 package cairnbridge.decision;
 
+import cairnbridge.time.Ticks;
 import java.util.List;
 
 /**
@@ -7,56 +8,65 @@
  * 0.
  */
 final class LoadReports {
-    private static final double UNKNOWN = -1,
-            SECOND = 10_000,
-            MILLI = 10,
-            MOST_BUSY = 0.95,
-            CROWDED = 0.5;
-    private final int held, rate, latency, busy, width;
+    private static final double UNKNOWN = -1;
+    private static final double MAX_UTILIZATION = 0.95;
+
+    /** The least share of a core that a request gets, however busy that is. */
+    private static final double MIN_IDLE_SHARE = 0.5;
+
+    private final int inFlightColumn;
+    private final int rateColumn;
+    private final int latencyColumn;
+    private final int utilizationColumn;
+    private final int width;
 
     LoadReports(List<String> columns) {
-        held = columns.indexOf("inflight");
-        rate = columns.indexOf("qps");
-        latency = columns.indexOf("latency_ms");
-        busy = columns.indexOf("util");
+        inFlightColumn = columns.indexOf("inflight");
+        rateColumn = columns.indexOf("qps");
+        latencyColumn = columns.indexOf("latency_ms");
+        utilizationColumn = columns.indexOf("util");
         width = columns.size();
     }
 
     /**
-     * How long an op stays there just now: by Little's law, or as work shares a core that is so
+     * How long a request stays there just now: by Little's law, or as work shares a core that is so
      * busy.
      */
-    double span(double[] row) {
-        double ops = at(row, held),
-                each = at(row, rate),
-                took = at(row, latency),
-                used = at(row, busy);
-        if (ops >= 0 && each > 0) {
-            return ops / each * SECOND;
+    double latency(double[] report) {
+        double inFlight = value(report, inFlightColumn);
+        double rate = value(report, rateColumn);
+        if (inFlight >= 0 && rate > 0) {
+            return inFlight / rate * Ticks.SECOND;
         }
-        return took < 0 ? UNKNOWN : took * MILLI / Math.max(CROWDED, 1 - Math.max(0, used));
+        double latency = value(report, latencyColumn);
+        double utilization = Math.max(0, value(report, utilizationColumn));
+        return latency < 0
+                ? UNKNOWN
+                : latency * Ticks.MILLISECOND / Math.max(MIN_IDLE_SHARE, 1 - utilization);
     }
 
-    /** How long an op would take on the idle node. */
-    double work(double[] row) {
-        double ops = at(row, held),
-                each = at(row, rate),
-                took = at(row, latency),
-                used = at(row, busy);
-        if (ops > 0 && each > 0) {
-            return ops / (1 + ops) / each * SECOND;
+    /** How long a request would take on the idle node. */
+    double work(double[] report) {
+        double inFlight = value(report, inFlightColumn);
+        double rate = value(report, rateColumn);
+        if (inFlight > 0 && rate > 0) {
+            return inFlight / (1 + inFlight) / rate * Ticks.SECOND;
         }
-        return took <= 0 || used < 0 ? UNKNOWN : took * MILLI * (1 - Math.min(MOST_BUSY, used));
+        double latency = value(report, latencyColumn);
+        double utilization = value(report, utilizationColumn);
+        return latency <= 0 || utilization < 0
+                ? UNKNOWN
+                : latency * Ticks.MILLISECOND * (1 - Math.min(MAX_UTILIZATION, utilization));
     }
 
     /** Guards against one bad figure: a row of another width is dropped, or the figure alone. */
-    private double at(double[] row, int column) {
-        boolean sound =
-                row != null
-                        && row.length == width
+    private double value(double[] report, int column) {
+        boolean isUsable =
+                report != null
+                        && report.length == width
                         && column >= 0
-                        && row[column] >= 0
-                        && row[column] < Double.POSITIVE_INFINITY;
-        return sound ? row[column] : UNKNOWN;
+                        && report[column] >= 0
+                        && report[column] < Double.POSITIVE_INFINITY;
+        return isUsable ? report[column] : UNKNOWN;
     }
 }
--- a/src/main/java/cairnbridge/decision/MessageLoop.java
+++ b/src/main/java/cairnbridge/decision/MessageLoop.java
@@ -6,42 +6,43 @@
 import java.util.Map;
 
 /**
- * Carries notes between the parts of one router: into inboxes now, or when a timer of the host
- * fires.
+ * Carries calls between the components of one router: at once in the order of their posting, or
+ * when a timer of the host fires. A component never calls into another that could call back; it
+ * posts, so that each sees the others' state as it was when the call before it had ended.
  */
 final class MessageLoop {
-    private record Wake(RouterComponent to, RouterMessage note) {}
-
     private final Host host;
-    private final ArrayDeque<RouterComponent> ready = new ArrayDeque<>();
-    private final Map<Long, Wake> wakes = new HashMap<>();
+    private final ArrayDeque<Runnable> posted = new ArrayDeque<>();
+    private final Map<Long, Runnable> scheduled = new HashMap<>();
     private long lastTimer;
 
     MessageLoop(Host host) {
         this.host = host;
     }
 
-    void post(RouterComponent to, RouterMessage note) {
-        to.inbox.add(note);
-        ready.add(to);
+    /** Runs a call after all that are posted already. */
+    void post(Runnable call) {
+        posted.add(call);
     }
 
-    void wake(RouterComponent to, long in, RouterMessage note) {
-        wakes.put(++lastTimer, new Wake(to, note));
-        host.startTimer(Math.max(1, in), new TimerId(lastTimer));
+    /** Posts a call after a delay in ticks, of one tick at least. */
+    void schedule(long delay, Runnable call) {
+        scheduled.put(++lastTimer, call);
+        host.startTimer(Math.max(1, delay), new TimerId(lastTimer));
     }
 
-    void fired(TimerId timer) {
-        Wake wake = wakes.remove(timer.value());
-        if (wake != null) {
-            post(wake.to, wake.note);
+    /** Posts the call of a timer; one that is not known is ignored. */
+    void timerFired(TimerId timer) {
+        Runnable call = scheduled.remove(timer.value());
+        if (call != null) {
+            post(call);
         }
     }
 
-    /** Hands notes out in the order of their posting until every inbox is empty. */
-    void empty() {
-        for (RouterComponent part = ready.poll(); part != null; part = ready.poll()) {
-            part.take(part.inbox.poll());
+    /** Runs posted calls, and those that they post, until none is left. */
+    void drain() {
+        for (Runnable call = posted.poll(); call != null; call = posted.poll()) {
+            call.run();
         }
     }
 }
--- a/src/main/java/cairnbridge/decision/MovingAverage.java
+++ b/src/main/java/cairnbridge/decision/MovingAverage.java
@@ -1,13 +1,33 @@
 package cairnbridge.decision;
 
-/** A mean that follows its samples: all alike at first, the later ones more once there are many. */
+import cairnbridge.time.Ticks;
+
+/** An average that follows its samples: all alike at first, later ones more once there are many. */
 final class MovingAverage {
-    private static final int MANY = 64;
-    double value;
-    int seen;
+    private static final int MAX_SAMPLES = 64;
+    private static final double MAX_WEIGHT = 0.5;
+
+    private double value;
+    private int samples;
 
     void add(double sample) {
-        seen = Math.min(MANY, seen + 1);
-        value += (sample - value) / seen;
+        samples = Math.min(MAX_SAMPLES, samples + 1);
+        value += (sample - value) / samples;
+    }
+
+    double value() {
+        return value;
+    }
+
+    int samples() {
+        return samples;
+    }
+
+    /**
+     * The weight of a new sample in an average over so many: the more, the longer ago the sample
+     * before it.
+     */
+    static double weightAfter(long gap, double samples) {
+        return Math.min(MAX_WEIGHT, Math.max(1 / samples, (double) gap / Ticks.SECOND));
     }
 }
--- a/src/main/java/cairnbridge/decision/Request.java
+++ b/src/main/java/cairnbridge/decision/Request.java
@@ -2,57 +2,93 @@
 
 import cairnbridge.decision.Ids.KeyId;
 import cairnbridge.decision.Ids.RequestId;
-import cairnbridge.decision.Router.ServerNode;
-import cairnbridge.decision.Settings.DeduplicationScope;
 import cairnbridge.decision.Settings.Effect;
 import cairnbridge.hash.SplitMix64;
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.List;
 
-/** The record kept of one op from its arrival to the end of its last push. */
+/** The record kept of one request from its arrival to the end of its last attempt. */
 final class Request {
     final RequestId id;
-    final RequestPolicy plan;
+    final RequestPolicy policy;
+
+    /** Null where the request names none. */
     final KeyId key;
+
     final int tenant;
-    final long point;
-    final long arrived;
-    final long expires;
+    final long ringPoint;
+    final long arrivedAt;
+    final long deadline;
 
     /** An answer after this is worth nothing. */
-    final long useful;
-
-    final boolean write;
-    final boolean repeat;
-    final List<Attempt> pushes = new ArrayList<>(2);
-    double benefit;
-    int open;
-    boolean over;
-    boolean streaming;
-    boolean waiting;
-    ServerNode missedAt;
-
-    Request(Event.RequestArrived event, RequestPolicy plan, long now) {
+    final long usefulUntil;
+
+    final boolean isWrite;
+    final boolean isClientRetry;
+    private final List<Attempt> attempts = new ArrayList<>(2);
+    private int openAttempts;
+    private double priorityWeight;
+    private boolean isFinished;
+    private boolean isStreaming;
+    private boolean isWaitingForOrigin;
+    private ServerNode missedAt;
+
+    Request(Event.RequestArrived event, RequestPolicy policy, long now) {
         id = event.request();
-        this.plan = plan;
+        this.policy = policy;
         key = event.key();
         tenant = event.tenant().value();
-        point = mix(key == null ? id.value() : key.value());
-        arrived = now;
-        expires = event.deadline();
-        useful = plan.lateCounts ? expires : Math.min(expires, now + plan.target);
-        write = event.isWrite();
-        repeat = event.isClientRetry();
-        benefit = plan.benefit();
+        ringPoint = SplitMix64.mix(key == null ? id.value() : key.value());
+        arrivedAt = now;
+        deadline = event.deadline();
+        usefulUntil =
+                policy.countsWhenLate()
+                        ? deadline
+                        : Math.min(deadline, now + policy.latencyObjective());
+        isWrite = event.isWrite();
+        isClientRetry = event.isClientRetry();
+        priorityWeight = policy.priorityWeight();
+    }
+
+    /** All attempts so far, by their number. */
+    List<Attempt> attempts() {
+        return Collections.unmodifiableList(attempts);
+    }
+
+    /** The attempt of a number while it is open; null otherwise. */
+    Attempt openAttempt(int number) {
+        boolean isKnown = number >= 0 && number < attempts.size();
+        return isKnown && attempts.get(number).isOpen() ? attempts.get(number) : null;
+    }
+
+    void attemptStarted(Attempt attempt) {
+        attempts.add(attempt);
+        openAttempts++;
     }
 
-    static long mix(long value) {
-        return SplitMix64.mix(value);
+    void attemptEnded(Attempt attempt, Event.AttemptOutcome outcome) {
+        attempt.ended(outcome);
+        openAttempts--;
     }
 
+    int openAttempts() {
+        return openAttempts;
+    }
+
+    /** Whether some attempt is not proven to have had no effect. */
     boolean mayHaveRun() {
-        for (Attempt push : pushes) {
-            if (push.mayHaveRun) {
+        for (Attempt attempt : attempts) {
+            if (attempt.mayHaveRun()) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    boolean hasAttemptAt(ServerNode node) {
+        for (Attempt attempt : attempts) {
+            if (attempt.node == node) {
                 return true;
             }
         }
@@ -60,77 +96,66 @@
     }
 
     /**
-     * The last time at which one more push may begin: within the TTL, and within the idempotency
-     * window, which counts from the first push that may have run.
+     * The last time at which one more attempt may begin: within the deadline, and within the
+     * deduplication window, which counts from the first attempt that may have run.
      */
-    long latestBegin(long tick) {
-        long latest = expires - tick;
-        for (Attempt push : pushes) {
-            if (push.mayHaveRun && plan.effect() == Effect.DEDUPLICATED) {
-                latest = Math.min(latest, push.sent + plan.span() - tick);
+    long latestStart(long clockGranularity) {
+        long latest = deadline - clockGranularity;
+        for (Attempt attempt : attempts) {
+            if (attempt.mayHaveRun() && policy.effect() == Effect.DEDUPLICATED) {
+                long windowEnd = attempt.sentAt + policy.deduplicationWindow();
+                latest = Math.min(latest, windowEnd - clockGranularity);
             }
         }
         return latest;
     }
 
-    boolean triedAt(ServerNode node) {
-        for (Attempt push : pushes) {
-            if (push.node == node) {
-                return true;
-            }
-        }
-        return false;
+    double priorityWeight() {
+        return priorityWeight;
     }
 
-    /** What decisions use of a category. */
-    record RequestPolicy(
-            Effect effect,
-            DeduplicationScope group,
-            long span,
-            long target,
-            double benefit,
-            boolean lateCounts,
-            LatencyHistogram hits,
-            Settings.Category category) {
-        static RequestPolicy of(Settings.Category c) {
-            return new RequestPolicy(
-                    c.effect(),
-                    c.deduplicationScope(),
-                    c.deduplicationWindow(),
-                    c.latencyObjective(),
-                    c.priorityWeight(),
-                    c.latePriorityWeight() > 0,
-                    new LatencyHistogram(),
-                    c);
-        }
+    /** Beyond its tenant's quota a request counts less. */
+    void lowerPriority(double factor) {
+        priorityWeight *= factor;
+    }
 
-        /**
-         * A hit that took longer than this waited behind others: some times the usual, within the
-         * target.
-         */
-        long late() {
-            return Math.max(target / 5, Math.min(target * 3 / 5, 5 * hits.floor()));
-        }
+    /** Whether nothing is owed any more. */
+    boolean isFinished() {
+        return isFinished;
     }
 
-    /** One push of the op; until its end is known it may have run. */
-    static final class Attempt {
-        final ServerNode node;
-        final long sent;
-        final boolean fetch;
-        boolean open = true;
-        boolean mayHaveRun = true;
+    void finish() {
+        isFinished = true;
+    }
 
-        Attempt(ServerNode node, long sent, boolean fetch) {
-            this.node = node;
-            this.sent = sent;
-            this.fetch = fetch;
-        }
+    /** Whether the answer has begun to pass through to the client. */
+    boolean isStreaming() {
+        return isStreaming;
+    }
+
+    void streamingStarted() {
+        isStreaming = true;
+    }
+
+    /** Whether it is in the origin's queue, or waits for another request's fetch. */
+    boolean isWaitingForOrigin() {
+        return isWaitingForOrigin;
+    }
+
+    void waitForOrigin() {
+        isWaitingForOrigin = true;
+    }
+
+    void stopWaitingForOrigin() {
+        isWaitingForOrigin = false;
+    }
+
+    /** The first cache that lacked the key; null where none did. */
+    ServerNode missedAt() {
+        return missedAt;
     }
 
-    /** One fetch of a key from the origin: who leads it, and who waits for what it brings. */
-    static final class CoalescedFetch {
-        final List<Request> followers = new ArrayList<>(2);
-        Request leader;
+    void missedAt(ServerNode node) {
+        missedAt = missedAt == null ? node : missedAt;
     }
 }
--- /dev/null
+++ b/src/main/java/cairnbridge/decision/RequestTable.java
@@ -0,0 +1,197 @@
+package cairnbridge.decision;
+
+import cairnbridge.decision.Event.AttemptOutcome;
+import cairnbridge.decision.Ids.RequestId;
+import cairnbridge.decision.Settings.Effect;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+
+/** Owns every request from its arrival to the end of its last attempt. */
+final class RequestTable {
+    private final RouterContext context;
+    private final List<RequestPolicy> policies;
+    private final Map<RequestId, Request> requests = new HashMap<>();
+    private final RetryBudget retryBudget = new RetryBudget();
+
+    /** Requests are answered this long before their deadline. */
+    private final long answerMargin;
+
+    RequestTable(RouterContext context) {
+        this.context = context;
+        policies = context.settings.categories().stream().map(RequestPolicy::of).toList();
+        answerMargin = 2 * context.settings.proxy().clockGranularity();
+    }
+
+    /** Begins the periodic work of ring and origin. */
+    void startHousekeeping() {
+        context.loop.schedule(RouterContext.HOUSEKEEPING_INTERVAL, this::housekeeping);
+    }
+
+    private void housekeeping() {
+        context.loop.post(context.ring::housekeeping);
+        context.loop.post(context.origin::housekeeping);
+        startHousekeeping();
+    }
+
+    /** Takes an event about a request; one about a request that is not known is ignored. */
+    void handle(Event event) {
+        if (event instanceof Event.RequestArrived arrived) {
+            requestArrived(arrived);
+        } else if (event instanceof Event.AttemptEnded ended) {
+            attemptEnded(ended);
+        } else if (event instanceof Event.RequestCancelled cancelled) {
+            Request request = requests.get(cancelled.request());
+            if (request != null) {
+                finish(request);
+            }
+        } else if (event instanceof Event.ShutdownScheduled shutdown) {
+            shutdownScheduled(shutdown.deadline());
+        } else if (event instanceof Event.StreamingStarted started) {
+            Request request = requests.get(started.request());
+            if (request != null) {
+                request.streamingStarted();
+                context.loop.post(() -> context.origin.streamingStarted(request));
+            }
+        }
+    }
+
+    private void requestArrived(Event.RequestArrived event) {
+        int category = Math.min(policies.size() - 1, event.category().value());
+        Request request = new Request(event, policies.get(Math.max(0, category)), context.now());
+        requests.put(request.id, request);
+        retryBudget.requestArrived();
+        long timeLeft = request.deadline - context.now() - answerMargin;
+        if (timeLeft <= 0) {
+            context.loop.post(() -> context.dispatcher.answer(request, 0));
+            return;
+        }
+        context.loop.schedule(timeLeft, () -> expired(request));
+        context.loop.post(() -> context.admission.requestArrived(request));
+    }
+
+    /**
+     * Guards against requests that would outlast the process: they are answered as at their
+     * deadline.
+     */
+    private void shutdownScheduled(long deadline) {
+        long timeLeft = Math.max(0, deadline - answerMargin - context.now());
+        for (Request request : requests.values()) {
+            context.loop.schedule(timeLeft, () -> expired(request));
+        }
+    }
+
+    private void expired(Request request) {
+        if (!request.isFinished() && !request.isStreaming()) {
+            long advice = RouterContext.LONGEST_RETRY_AFTER;
+            context.loop.post(() -> context.dispatcher.answer(request, advice));
+        }
+    }
+
+    /** Sends an admitted request on its way to a cache, or to the origin. */
+    void admitted(Request request) {
+        OriginLimiter origin = context.origin;
+        boolean toOrigin =
+                origin.isLookAside() && (request.isWrite || origin.isFetching(request.key));
+        if (toOrigin) {
+            context.loop.post(() -> origin.fetch(request));
+        } else {
+            context.loop.post(() -> context.placer.place(request));
+        }
+    }
+
+    /**
+     * An attempt has been sent; when it outlasts nearly all others of its category, a hedged one
+     * may go elsewhere.
+     */
+    void attemptSent(Request request, Attempt attempt) {
+        RequestPolicy policy = request.policy;
+        boolean mayHedge =
+                context.settings.attempts().mayHedge() && policy.effect() == Effect.IDEMPOTENT;
+        if (attempt.isFetch || !mayHedge) {
+            return;
+        }
+        LatencyHistogram latency = policy.hitLatency();
+        long longest = Math.max(policy.latencyObjective() / 2, 5 * latency.floor());
+        long usual = 2 * latency.quantile(0.95, policy.latencyObjective() / 4);
+        long delay = Math.min(longest, usual);
+        if (request.deadline - context.now() > delay + latency.quantile(0.5, 0)) {
+            context.loop.schedule(delay, () -> hedge(request, attempt));
+        }
+    }
+
+    private void hedge(Request request, Attempt attempt) {
+        boolean isPending = !request.isFinished() && !request.isStreaming();
+        boolean isOnlyAttempt = request.openAttempts() == 1 && attempt.isOpen();
+        if (isPending && isOnlyAttempt && retryBudget.has(1)) {
+            retryBudget.spend(1);
+            context.loop.post(() -> context.placer.place(request));
+        }
+    }
+
+    private void attemptEnded(Event.AttemptEnded event) {
+        Request request = requests.get(event.request());
+        Attempt attempt = request == null ? null : request.openAttempt(event.attempt());
+        if (attempt == null) {
+            return;
+        }
+        request.attemptEnded(attempt, event.outcome());
+        context.loop.post(() -> attempt.node.attemptEnded(request, event));
+        if (attempt.isFetch) {
+            context.loop.post(() -> context.origin.attemptEnded(request, event));
+        } else {
+            context.loop.post(() -> context.admission.attemptEnded(request, attempt.node, event));
+            if (event.outcome() == AttemptOutcome.SUCCESS) {
+                request.policy.hitLatency().add(event.duration());
+            }
+        }
+        if (event.isRequestOver() || request.isFinished()) {
+            finish(request);
+        } else if (event.outcome() == AttemptOutcome.CACHE_MISS) {
+            request.missedAt(attempt.node);
+            context.loop.post(() -> context.origin.fetch(request));
+        } else {
+            retry(request, attempt, event.outcome().reachedNoNode() ? 0 : 1);
+        }
+    }
+
+    /** Tries elsewhere if rules, time and budget allow, else has the request answered. */
+    private void retry(Request request, Attempt failed, int cost) {
+        if (request.openAttempts() > 0 || request.isWaitingForOrigin()) {
+            return;
+        }
+        long timeLeft = request.deadline - context.now() - answerMargin;
+        boolean hasTime = timeLeft > request.policy.hitLatency().quantile(0.25, 0);
+        if (!hasTime || !retryBudget.has(cost) || !context.dispatcher.mayAttempt(request)) {
+            long advice = RouterContext.HOUSEKEEPING_INTERVAL;
+            context.loop.post(() -> context.dispatcher.answer(request, advice));
+            return;
+        }
+        retryBudget.spend(cost);
+        if (failed.isFetch) {
+            context.loop.post(() -> context.origin.fetch(request));
+        } else {
+            context.loop.post(() -> context.placer.place(request));
+        }
+    }
+
+    /** No server can take a request now; it is answered unless an attempt is still open. */
+    void cannotContinue(Request request, long retryAfter) {
+        if (request.openAttempts() == 0) {
+            long advice = Math.max(RouterContext.HOUSEKEEPING_INTERVAL, retryAfter);
+            context.loop.post(() -> context.dispatcher.answer(request, advice));
+        }
+    }
+
+    /** Nothing is owed for a request any more; it is kept until its last attempt has ended. */
+    void finish(Request request) {
+        request.finish();
+        if (request.isWaitingForOrigin()) {
+            context.loop.post(() -> context.origin.cancelled(request));
+        }
+        if (request.openAttempts() == 0) {
+            requests.remove(request.id);
+        }
+        context.loop.post(() -> context.dispatcher.cancelOpenAttempts(request));
+    }
+}
--- /dev/null
+++ b/src/main/java/cairnbridge/decision/SlowStartWindow.java
@@ -0,0 +1,32 @@
+package cairnbridge.decision;
+
+/** How many attempts one server in slow start may still be sent, and until when that counts. */
+final class SlowStartWindow {
+    private int remaining;
+    private long endsAt;
+
+    void restart(long now) {
+        endsAt = now;
+    }
+
+    boolean hasEnded(long now) {
+        return now >= endsAt;
+    }
+
+    long endsAt() {
+        return endsAt;
+    }
+
+    void begin(int attempts, long end) {
+        remaining = attempts;
+        endsAt = end;
+    }
+
+    boolean hasRemaining() {
+        return remaining > 0;
+    }
+
+    void attemptSent() {
+        remaining--;
+    }
+}
--- a/src/main/java/cairnbridge/decision/TimeBudget.java
+++ b/src/main/java/cairnbridge/decision/TimeBudget.java
@@ -1,20 +1,25 @@
 package cairnbridge.decision;
 
+import cairnbridge.time.Ticks;
+
 /**
- * The waits that add up to a term of the acceptance, each derived here from that term. Spans in
- * milliseconds. Whoever waits takes the wait from here; a test adds them up.
+ * The waits that add up to a term of the acceptance, each derived here from that term. Whoever
+ * waits takes the wait from here; a test adds them up.
  */
 public final class TimeBudget {
-    /** A change of the list counts as told so long after discovery had it and could be reached. */
+    /**
+     * A change of the endpoint list counts as notified so long after discovery had it and could be
+     * reached.
+     */
     public static final long NOTIFIED_MILLIS = 6000;
 
     /** Discovery writes an empty line to a quiet watch this often. */
     public static final long HEARTBEAT_MILLIS = 2000;
 
-    /** Kept back of every term for a process that is busy, and for the way of what is told. */
+    /** Kept back of every term for a process that is busy, and for the way of what is notified. */
     public static final long NOTIFIED_SLACK_MILLIS = NOTIFIED_MILLIS / 6;
 
-    /** How often a call is looked at; silence is noticed so much late at the most. */
+    /** How often a call is checked; silence is noticed so much late at the most. */
     public static final long CHECK_INTERVAL_MILLIS = NOTIFIED_MILLIS / 60;
 
     /** A heartbeat that is three quarters late is missing: the watch is silent. */
@@ -40,12 +45,13 @@
      */
     public static final long MAX_BACKOFF_MILLIS = MAX_RETRY_WAIT_MILLIS / 2;
 
+    /** The first wait after a call that failed. */
     public static final long MIN_BACKOFF_MILLIS = 50;
 
-    /** After SIGHUP, what discovery has at its new address counts as told so much later. */
+    /** After SIGHUP, what discovery has at its new address counts as notified so much later. */
     public static final long RELOAD_NOTIFIED_MILLIS = 4000;
 
-    /** How often the configuration file is looked at where SIGHUP cannot arrive. */
+    /** How often the configuration file is checked where SIGHUP cannot arrive. */
     public static final long RELOAD_POLL_MILLIS = RELOAD_NOTIFIED_MILLIS / 16;
 
     /** The platform counts TTLs up to this one when it sets the time from SIGTERM to SIGKILL. */
@@ -54,28 +60,31 @@
     /** SIGKILL comes no sooner than this after the longest TTL. */
     public static final long KILL_MARGIN_MILLIS = 700;
 
-    /** Of that, what the last answers need on their way, and what the process needs to end. */
-    public static final long LAST_ANSWER_MILLIS = 100, EXIT_MILLIS = 100;
+    /** Of that, what the last answers need on their way. */
+    public static final long LAST_ANSWER_MILLIS = 100;
+
+    /** Of that, what the process needs to end. */
+    public static final long EXIT_MILLIS = 100;
 
     private TimeBudget() {}
 
     /**
-     * The longest wait before a list is asked for again, where the settings give some time; in
-     * tenths.
+     * The longest wait until a list is asked for again, where the settings give some time; in
+     * ticks.
      */
-    static long maxListRetryWait(long told) {
-        return Math.min(told / 3, MAX_RETRY_WAIT_MILLIS * 10);
+    static long maxListRetryWait(long retryWithin) {
+        return Math.min(retryWithin / 3, Ticks.fromMillis(MAX_RETRY_WAIT_MILLIS));
     }
 
     /**
-     * From SIGTERM on, for how long ops are taken and worked on; the longest TTL of the settings is
-     * told.
+     * From SIGTERM on, for how long requests are taken and worked on; the longest TTL of the
+     * settings is given.
      */
     public static long shutdownServingMillis(long longestTtlMillis) {
         return Math.min(longestTtlMillis, LONGEST_TTL_MILLIS);
     }
 
-    /** From SIGTERM on, until when every op has its answer. */
+    /** From SIGTERM on, until when every request has its answer. */
     public static long shutdownAnsweringMillis(long longestTtlMillis) {
         return shutdownEndMillis(longestTtlMillis) - LAST_ANSWER_MILLIS;
     }
--- a/src/main/java/cairnbridge/fleet/coordination/FleetLoadCounters.java
+++ b/src/main/java/cairnbridge/fleet/coordination/FleetLoadCounters.java
@@ -52,7 +52,7 @@
      */
     public FleetLoadCounters(List<String> zoneNames, Settings settings, long now) {
         this.zoneNames = zoneNames;
-        originKind = settings.originKind();
+        originKind = settings.origin().machineKind();
         categories = settings.categories();
         rates = new RequestRates(categories.size(), now);
     }
--- a/src/main/java/cairnbridge/lab/model/ZonesModel.java
+++ b/src/main/java/cairnbridge/lab/model/ZonesModel.java
@@ -98,7 +98,7 @@
         }
         for (Event.Endpoint entry : roster.endpoints()) {
             if (entry.state() == Event.NodeState.GONE
-                    || entry.kind().equals(settings.originKind())) {
+                    || entry.kind().equals(settings.origin().machineKind())) {
                 servers.remove(entry.node());
             } else {
                 servers.put(
--- a/src/main/java/cairnbridge/lab/policy/Baseline.java
+++ b/src/main/java/cairnbridge/lab/policy/Baseline.java
@@ -70,7 +70,7 @@
     }
 
     private void listed(Event.Endpoint entry) {
-        if (entry.kind().equals(settings.originKind())) {
+        if (entry.kind().equals(settings.origin().machineKind())) {
             origin = entry.node();
             return;
         }
--- a/src/main/java/cairnbridge/lab/run/FleetSide.java
+++ b/src/main/java/cairnbridge/lab/run/FleetSide.java
@@ -196,7 +196,7 @@
         ReturnModel model =
                 new ReturnModel(
                         agenda,
-                        settings.originKind(),
+                        settings.origin().machineKind(),
                         trusted.endpointList().version() > 0
                                 ? disk.list()
                                 : ReturnModel.Listed.NONE);
@@ -206,9 +206,9 @@
                         trusted,
                         new RecoveryCoordinator.Deployment(
                                 settings.categories(),
-                                settings.proxies(),
-                                settings.originKind(),
-                                settings.mayProbe(),
+                                settings.proxy().count(),
+                                settings.origin().machineKind(),
+                                settings.attempts().mayCheckHealth(),
                                 proxy.name(),
                                 proxy.zone()),
                         RandomGeneratorFactory.of("L64X128MixRandom").create(seed * 31 + life),
@@ -228,7 +228,7 @@
                                                     ? other.back().list()
                                                     : ReturnModel.Listed.NONE);
                                 }));
-        proxy.returnsBy(model, settings.maxRetryAfter());
+        proxy.returnsBy(model, settings.clients().maxRetryAfter());
         return trusted.isNodeTrustUsable() ? disk.learnt() : WarmStartState.EMPTY;
     }
 
@@ -266,8 +266,8 @@
                             config,
                             new ZoneHealth.NodeRates(
                                     config.nodeRequestsPerSecond(),
-                                    settings.coldFrom(),
-                                    settings.warmUp(),
+                                    settings.slowStart().initialShare(),
+                                    settings.slowStart().duration(),
                                     config.regions()),
                             RandomGeneratorFactory.of("L64X128MixRandom").create(seed * 37 + life),
                             0,
--- a/src/main/java/cairnbridge/proxy/DiscoveryWatch.java
+++ b/src/main/java/cairnbridge/proxy/DiscoveryWatch.java
@@ -116,7 +116,7 @@
         scheduler.execute(
                 () -> {
                     started = true;
-                    watchWanted |= !config.settings().mustSubscribe();
+                    watchWanted |= !config.settings().discovery().mustSubscribe();
                     if (watchWanted && activeCall == null) {
                         openWatch();
                     }
@@ -294,7 +294,7 @@
                 && millisSince(call.startedAtNanos) >= TimeBudget.HEARTBEAT_MILLIS) {
             backoffMillis = TimeBudget.MIN_BACKOFF_MILLIS;
         }
-        if (config.settings().mustSubscribe()) {
+        if (config.settings().discovery().mustSubscribe()) {
             watchWanted = false;
             eventQueue.post(
                     new ProxyEvent.EndpointListChanged(
@@ -420,7 +420,7 @@
     /** A kind that nobody has named is a cache's, as in the module. */
     private void updateListedCache(Endpoint entry, Zone zone) {
         if (entry.state() == NodeState.GONE
-                || entry.kind().equals(config.settings().originKind())) {
+                || entry.kind().equals(config.settings().origin().machineKind())) {
             listedCaches.remove(entry.node());
         } else {
             listedCaches.put(
@@ -449,7 +449,8 @@
                 cacheFlagByNode.remove(entry.node());
             } else {
                 cacheFlagByNode.put(
-                        entry.node(), !entry.kind().equals(config.settings().originKind()));
+                        entry.node(),
+                        !entry.kind().equals(config.settings().origin().machineKind()));
             }
         }
         metrics.setListedNodes(
--- a/src/main/java/cairnbridge/proxy/FleetLink.java
+++ b/src/main/java/cairnbridge/proxy/FleetLink.java
@@ -85,12 +85,12 @@
 
     @Override
     public double slowStartFactor() {
-        return config.settings().coldFrom();
+        return config.settings().slowStart().initialShare();
     }
 
     @Override
     public long slowStartDuration() {
-        return config.settings().warmUp();
+        return config.settings().slowStart().duration();
     }
 
     @Override
@@ -159,7 +159,7 @@
 
     @Override
     public void probe(long node) {
-        if (config.settings().mayProbe()) {
+        if (config.settings().attempts().mayCheckHealth()) {
             eventQueue.postUrgent(new ProxyEvent.HealthCheckRequested(new NodeId(node)));
         }
     }
--- a/src/main/java/cairnbridge/proxy/ProxyServer.java
+++ b/src/main/java/cairnbridge/proxy/ProxyServer.java
@@ -183,7 +183,7 @@
         fleetMember =
                 new FleetMember(
                         of,
-                        config.settings().proxies(),
+                        config.settings().proxy().count(),
                         new FleetMember.Addresses(hostAndPort(config.network().listen()), staff),
                         config.seed(),
                         statePersistence == null
--- a/src/main/java/cairnbridge/proxy/RecoveryLink.java
+++ b/src/main/java/cairnbridge/proxy/RecoveryLink.java
@@ -66,9 +66,9 @@
                         keeper.restored(),
                         new RecoveryCoordinator.Deployment(
                                 settings.categories(),
-                                settings.proxies(),
-                                settings.originKind(),
-                                settings.mayProbe(),
+                                settings.proxy().count(),
+                                settings.origin().machineKind(),
+                                settings.attempts().mayCheckHealth(),
                                 me,
                                 zone),
                         RandomGeneratorFactory.of("L64X128MixRandom").create(config.seed()),
@@ -99,8 +99,10 @@
         switch (verdict.kind()) {
             case REJECTED ->
                     client.rejectRetryable(
-                            settings.mayAdviseRetry()
-                                    ? Math.min(settings.maxRetryAfter(), verdict.retryAfter())
+                            settings.clients().mayAdviseRetry()
+                                    ? Math.min(
+                                            settings.clients().maxRetryAfter(),
+                                            verdict.retryAfter())
                                     : 0);
             case FAILED -> client.failPermanently();
             default -> {}
--- a/src/main/java/cairnbridge/proxy/Warmup.java
+++ b/src/main/java/cairnbridge/proxy/Warmup.java
@@ -54,7 +54,7 @@
 
     /** hurried: nobody serves meanwhile at the place where this proxy is to. */
     Warmup(ProxyConfig config, ConnectionReactor sockets, ListenerState listen, boolean hurried) {
-        int ops = REQUESTS_OF_ALL_PROXIES / config.settings().proxies();
+        int ops = REQUESTS_OF_ALL_PROXIES / config.settings().proxy().count();
         remainingRequests =
                 new AtomicInteger(
                         hurried
@@ -77,7 +77,7 @@
                         new ProxyMetrics(config.names().categories()));
         Thread owner = new Thread(decide, "warm");
         owner.start();
-        MachineKind origin = config.settings().originKind();
+        MachineKind origin = config.settings().origin().machineKind();
         // Guards against a rehearsal that reaches another process, which listens at the clients'
         // address too.
         Acceptor accept =
--- a/src/test/java/cairnbridge/decision/RouterTest.java
+++ b/src/test/java/cairnbridge/decision/RouterTest.java
@@ -344,7 +344,7 @@
                 if (op == 40) {
                     host.changed(entry(21, NodeState.READY, host.clock)).pushes.clear();
                 }
-                host.op(op, 100 * seed + op, SECOND).ends(AttemptOutcome.SUCCESS, 20).pass(SECOND);
+                host.op(op, 100L * seed + op, SECOND).ends(AttemptOutcome.SUCCESS, 20).pass(SECOND);
             }
             cold += host.pushes.stream().filter(p -> p.node() == 21).count();
         }
--- a/src/test/java/cairnbridge/decision/SlowStartSumTest.java
+++ b/src/test/java/cairnbridge/decision/SlowStartSumTest.java
@@ -42,13 +42,13 @@
     private record Out(FakeHost.Pushed push, long sent, long due, AttemptOutcome ending) {}
 
     /** One process with its own part of the traffic; a restart replaces its host. */
-    private static final class Process {
+    private static final class SimulatedProxy {
         final double rate;
         final List<Out> out = new ArrayList<>();
         FakeHost host;
         int seen;
 
-        Process(FakeHost host, double rate) {
+        SimulatedProxy(FakeHost host, double rate) {
             this.host = host;
             this.rate = rate;
         }
@@ -70,7 +70,7 @@
         int served = 0;
         for (long seed = 1; seed <= 8; seed++) {
             RandomGenerator chance = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-            List<Process> fleet = new ArrayList<>();
+            List<SimulatedProxy> fleet = new ArrayList<>();
             for (int i = 0; i < living; i++) {
                 // Some processes get several times the mean.
                 double rate =
@@ -78,7 +78,7 @@
                                 / living
                                 * (0.4 + 1.2 * chance.nextDouble())
                                 * (i % 9 == 0 ? 3 : 0.75);
-                fleet.add(new Process(host(told, seed * 1000 + i), rate));
+                fleet.add(new SimulatedProxy(host(told, seed * 1000 + i), rate));
             }
             long start = fleet.get(0).host.clock;
             long joined = start + BEFORE;
@@ -87,7 +87,7 @@
             int warm = 0;
             for (long now = start; now < joined + AFTER; now += STEP) {
                 for (int i = 0; i < living; i++) {
-                    Process process = fleet.get(i);
+                    SimulatedProxy process = fleet.get(i);
                     if (now == joined) {
                         process.host.changed(entry(COLD, NodeState.READY, joined));
                     } else if (i < restarted && now == joined + (1 + i % 5) * SECOND) {
@@ -114,7 +114,7 @@
                 }
             }
             served += cold.size();
-            sent += id;
+            sent = (int) (sent + id);
             double rate =
                     (double) warm
                             / CACHES
@@ -145,7 +145,7 @@
         return new Out(push, now, now + took, ending);
     }
 
-    private static void ended(Process process, long now) {
+    private static void ended(SimulatedProxy process, long now) {
         for (Out each : List.copyOf(process.out)) {
             if (each.due <= now) {
                 process.out.remove(each);
