--- a/src/main/java/cairnbridge/proxy/BufferedBody.java
+++ b/src/main/java/cairnbridge/proxy/BufferedBody.java
@@ -4,31 +4,41 @@
 import java.nio.ByteBuffer;
 import org.apache.hc.core5.http.EntityDetails;
 
-/** The bytes of a body that have come so far, up to the most that is gathered whole. */
-final class BufferedBody {
-    static final int MAX_BYTES = 64 * 1024;
+/**
+ * The bytes received so far of a body that is short enough to be buffered whole. For one thread.
+ */
+public final class BufferedBody {
+    /** The longest body that is buffered whole. */
+    public static final int MAX_BYTES = 64 * 1024;
+
     private static final int INITIAL_BYTES = 2048;
     private final ByteArrayOutputStream buffer;
 
-    /** entity is null where there is no body. */
-    BufferedBody(EntityDetails entity) {
-        long told = entity == null ? 0 : entity.getContentLength();
-        // Guards against room taken by hundreds who announce a body and send none.
-        buffer = new ByteArrayOutputStream((int) Math.max(0, Math.min(INITIAL_BYTES, told)));
+    /**
+     * A buffer without any bytes yet.
+     *
+     * @param entity what the message's head says of its body; null if there is none
+     */
+    public BufferedBody(EntityDetails entity) {
+        long announcedBytes = entity == null ? 0 : entity.getContentLength();
+        // Guards against memory taken by hundreds who announce a body and send none.
+        long initialBytes = Math.max(0, Math.min(INITIAL_BYTES, announcedBytes));
+        buffer = new ByteArrayOutputStream((int) initialBytes);
     }
 
-    /** Takes in all that is there; false, and nothing taken, where the body grows too long. */
-    boolean tryAppend(ByteBuffer src) {
-        boolean fits = buffer.size() + src.remaining() <= MAX_BYTES;
+    /** Takes all that is there; false, and nothing taken, if the body grows too long. */
+    public boolean tryAppend(ByteBuffer source) {
+        boolean fits = buffer.size() + source.remaining() <= MAX_BYTES;
         if (fits) {
-            byte[] part = new byte[src.remaining()];
-            src.get(part);
-            buffer.write(part, 0, part.length);
+            byte[] chunk = new byte[source.remaining()];
+            source.get(chunk);
+            buffer.write(chunk, 0, chunk.length);
         }
         return fits;
     }
 
-    byte[] toByteArray() {
+    /** A copy of the bytes received so far. */
+    public byte[] toByteArray() {
         return buffer.toByteArray();
     }
 }
--- a/src/main/java/cairnbridge/proxy/ByteArrayBody.java
+++ b/src/main/java/cairnbridge/proxy/ByteArrayBody.java
@@ -6,14 +6,20 @@
 import org.apache.hc.core5.http.impl.BasicEntityDetails;
 import org.apache.hc.core5.http.nio.DataStreamChannel;
 
-/** The bytes of a body that are still to be written. */
-final class ByteArrayBody implements MessageBody {
+/**
+ * A body whose bytes are all at hand; empty for a message without one. For one thread at a time.
+ */
+public final class ByteArrayBody implements MessageBody {
     private final ByteBuffer remaining;
     private boolean ended;
 
-    /** body is null where there is none. */
-    ByteArrayBody(byte[] body) {
-        remaining = ByteBuffer.wrap(body == null ? new byte[0] : body);
+    /**
+     * A body of these bytes, which are not copied.
+     *
+     * @param bytes null or empty for no body
+     */
+    public ByteArrayBody(byte[] bytes) {
+        remaining = ByteBuffer.wrap(bytes == null ? new byte[0] : bytes);
     }
 
     @Override
@@ -28,7 +34,7 @@
 
     @Override
     public boolean writeTo(DataStreamChannel out) throws IOException {
-        if (ended) { // The library asks again after the end.
+        if (ended) { // The library calls again after the end.
             return false;
         }
         out.write(remaining);
--- a/src/main/java/cairnbridge/proxy/MessageFraming.java
+++ b/src/main/java/cairnbridge/proxy/MessageFraming.java
@@ -5,73 +5,90 @@
 import org.apache.hc.core5.http.HttpResponse;
 import org.apache.hc.core5.http.HttpStatus;
 import org.apache.hc.core5.http.ProtocolException;
-import org.apache.hc.core5.http.nio.SessionInputBuffer;
 
 /**
- * Where a message's body ends, by its own fields; the library takes some that can be read in two
- * ways.
+ * Where a message's body ends, by its own headers. The library accepts some that can be read in two
+ * ways; this does not. Stateless, for any thread.
  */
-final class MessageFraming {
-    private static final String LENGTH = "Content-Length";
-    private static final String CODING = "Transfer-Encoding";
+public final class MessageFraming {
+    /** The longest body that is forwarded. */
+    public static final long MAX_BODY_BYTES = 40L << 20;
+
+    private static final String LENGTH_HEADER = "Content-Length";
+    private static final String CODING_HEADER = "Transfer-Encoding";
+    private static final String CONNECTION_HEADER = "Connection";
     private static final String UNCLEAR_LENGTH = "body without one clear length";
+    private static final String TOO_LONG = "body is too long";
     private static final int MAX_LENGTH_DIGITS = 8;
-
-    /** The longest body that passes through, in bytes. */
-    static final long MAX_BODY_BYTES = 40 << 20;
+    private static final int DECIMAL_BASE = 10;
+    private static final int NOT_A_NUMBER = -1;
 
     private MessageFraming() {}
 
     /**
-     * Guards against a head that breaks off: the library takes what has come for the whole of it.
+     * Rejects a response without one clear length. It may end with its connection if it says so;
+     * else one that breaks off would seem whole.
      */
-    static void requireCompleteHead(HttpMessage head, SessionInputBuffer buffer, boolean ended)
-            throws ProtocolException {
-        if (head == null && ended && buffer.hasData()) {
-            throw new ProtocolException("head broke off");
-        }
+    static void requireClearLength(HttpResponse response) throws ProtocolException {
+        Header connection = response.getFirstHeader(CONNECTION_HEADER);
+        boolean closes = connection != null && connection.getValue().equalsIgnoreCase("close");
+        int status = response.getCode();
+        boolean bodyless =
+                status == HttpStatus.SC_NO_CONTENT || status == HttpStatus.SC_NOT_MODIFIED;
+        requireClearLength(response, closes || bodyless);
     }
 
     /**
-     * An answer may end with its connection where it says so; else what breaks off would seem
-     * whole.
+     * Rejects a message without one clear length.
+     *
+     * @param mayBeUnframed whether it may have no header that says where its body ends
      */
-    static void requireClearLength(HttpResponse answer) throws ProtocolException {
-        Header connection = answer.getFirstHeader("Connection");
-        boolean closes = connection != null && connection.getValue().equalsIgnoreCase("close");
-        int code = answer.getCode();
-        requireClearLength(
-                answer,
-                closes || code == HttpStatus.SC_NO_CONTENT || code == HttpStatus.SC_NOT_MODIFIED);
+    static void requireClearLength(HttpMessage message, boolean mayBeUnframed)
+            throws ProtocolException {
+        int lengths = message.countHeaders(LENGTH_HEADER);
+        int codings = message.countHeaders(CODING_HEADER);
+        if (lengths + codings == 0 && mayBeUnframed) {
+            return;
+        }
+        if (lengths + codings != 1) {
+            throw new ProtocolException(UNCLEAR_LENGTH);
+        }
+        if (codings == 1) {
+            requireChunked(message.getFirstHeader(CODING_HEADER).getValue());
+        } else {
+            requireLength(message.getFirstHeader(LENGTH_HEADER).getValue());
+        }
     }
 
-    /** unframed: a message that says nothing of a body is in order. */
-    static void requireClearLength(HttpMessage message, boolean unframed) throws ProtocolException {
-        String fault = findLengthFault(message, unframed);
-        if (fault != null) {
-            throw new ProtocolException(fault);
+    private static void requireChunked(String coding) throws ProtocolException {
+        if (!coding.equalsIgnoreCase("chunked")) {
+            throw new ProtocolException(UNCLEAR_LENGTH);
+        }
+    }
+
+    private static void requireLength(String text) throws ProtocolException {
+        int length = parseLength(text);
+        if (length == NOT_A_NUMBER) {
+            throw new ProtocolException(UNCLEAR_LENGTH);
+        }
+        if (length > MAX_BODY_BYTES) {
+            throw new ProtocolException(TOO_LONG);
         }
     }
 
-    /** What is wrong with it, or null. */
-    private static String findLengthFault(HttpMessage message, boolean unframed) {
-        int lengths = message.countHeaders(LENGTH);
-        int codings = message.countHeaders(CODING);
-        if (lengths + codings == 0 && unframed) {
-            return null;
-        } else if (lengths + codings != 1) {
-            return UNCLEAR_LENGTH;
-        } else if (codings == 1) {
-            return message.getFirstHeader(CODING).getValue().equalsIgnoreCase("chunked")
-                    ? null
-                    : UNCLEAR_LENGTH;
+    /** The number that the text has in digits alone, without sign or blank. */
+    private static int parseLength(String text) {
+        if (text.isEmpty() || text.length() > MAX_LENGTH_DIGITS) {
+            return NOT_A_NUMBER;
         }
-        String text = message.getFirstHeader(LENGTH).getValue();
-        int length = text.isEmpty() || text.length() > MAX_LENGTH_DIGITS ? -1 : 0;
-        for (int i = 0; i < text.length() && length >= 0; i++) {
+        int length = 0;
+        for (int i = 0; i < text.length(); i++) {
             int digit = text.charAt(i) - '0';
-            length = digit < 0 || digit > 9 ? -1 : length * 10 + digit;
+            if (digit < 0 || digit >= DECIMAL_BASE) {
+                return NOT_A_NUMBER;
+            }
+            length = length * DECIMAL_BASE + digit;
         }
-        return length < 0 ? UNCLEAR_LENGTH : length > MAX_BODY_BYTES ? "body is too long" : null;
+        return length;
     }
 }
--- a/src/main/java/cairnbridge/proxy/RequestHeadParser.java
+++ b/src/main/java/cairnbridge/proxy/RequestHeadParser.java
@@ -11,17 +11,20 @@
 import org.apache.hc.core5.http.nio.SessionInputBuffer;
 
 /**
- * Reads the heads of one client's requests and lets none pass whose end could be read in two ways.
+ * Parses the request heads of one client connection, and rejects each whose end could be read in
+ * two ways. For the reactor thread.
  */
-final class RequestHeadParser extends DefaultHttpRequestParser<HttpRequest> {
+public final class RequestHeadParser extends DefaultHttpRequestParser<HttpRequest> {
     private final BooleanSupplier requestOpen;
 
     /**
-     * busy tells that a request is open on this connection, or that its last answer has been given.
+     * A parser for one connection.
+     *
+     * @param requestOpen whether a request is open on this connection, or its last answer was given
      */
-    RequestHeadParser(Http1Config http, BooleanSupplier busy) {
-        super(http, DefaultHttpRequestFactory.INSTANCE);
-        this.requestOpen = busy;
+    public RequestHeadParser(Http1Config httpConfig, BooleanSupplier requestOpen) {
+        super(httpConfig, DefaultHttpRequestFactory.INSTANCE);
+        this.requestOpen = requestOpen;
     }
 
     /** What it throws is answered with its status, and the connection ends with that answer. */
@@ -33,8 +36,8 @@
         if (buffer.hasData() && requestOpen.getAsBoolean()) {
             throw new ProtocolException("one request at a time");
         }
-        HttpRequest request = super.parse(buffer, false);
-        MessageFraming.requireCompleteHead(request, buffer, ended);
+        HttpRequest request =
+                MessageHeadParser.requireComplete(super.parse(buffer, false), buffer, ended);
         // Guards against a request that hides in the body of another.
         if (request != null) {
             MessageFraming.requireClearLength(request, true);
--- a/src/main/java/cairnbridge/proxy/ResponseHeadParser.java
+++ b/src/main/java/cairnbridge/proxy/ResponseHeadParser.java
@@ -12,27 +12,32 @@
 import org.apache.hc.core5.http.nio.SessionInputBuffer;
 
 /**
- * Reads the heads of a server's answers; what it throws ends the connection, and the exchange as
- * broken.
+ * Parses the response heads of one server connection. What it throws ends the connection, and the
+ * exchange as broken. For the reactor thread.
  */
-final class ResponseHeadParser extends DefaultHttpResponseParser<HttpResponse> {
+public final class ResponseHeadParser extends DefaultHttpResponseParser<HttpResponse> {
     private final BooleanSupplier awaitingResponse;
 
-    /** asked tells that a request is out on this connection. */
-    ResponseHeadParser(Http1Config http, BooleanSupplier asked) {
-        super(http, DefaultHttpResponseFactory.INSTANCE);
-        this.awaitingResponse = asked;
+    /**
+     * A parser for one connection.
+     *
+     * @param awaitingResponse whether a request has been sent on this connection that has no
+     *     complete response yet
+     */
+    public ResponseHeadParser(Http1Config httpConfig, BooleanSupplier awaitingResponse) {
+        super(httpConfig, DefaultHttpResponseFactory.INSTANCE);
+        this.awaitingResponse = awaitingResponse;
     }
 
     @Override
     public HttpResponse parse(SessionInputBuffer buffer, boolean ended)
             throws IOException, HttpException {
-        // Guards against bytes past an answer, which the next push would take for its own.
+        // Guards against bytes past an answer, which the next attempt would take for its own.
         if (buffer.hasData() && !awaitingResponse.getAsBoolean()) {
             throw new ProtocolException("bytes that nobody asked for");
         }
-        HttpResponse response = super.parse(buffer, false);
-        MessageFraming.requireCompleteHead(response, buffer, ended);
+        HttpResponse response =
+                MessageHeadParser.requireComplete(super.parse(buffer, false), buffer, ended);
         // Guards against spoilt answers: without a length nothing tells a whole one from one that
         // broke off.
         if (response != null && response.getCode() >= HttpStatus.SC_OK) {
--- a/src/main/java/cairnbridge/proxy/SendPermit.java
+++ b/src/main/java/cairnbridge/proxy/SendPermit.java
@@ -4,53 +4,59 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * Whether an attempt may still begin. It is given with the decision, asked again where the bytes
- * leave, and revoked by whoever learns better: the reactor that sees a client go, the owner that
- * answers the op or hears that a node drains. Any thread may ask and revoke; nothing here waits,
- * and nothing does I/O.
+ * Whether an attempt may still be sent. It is issued with the decision to send, checked again where
+ * the bytes leave, and revoked by whoever learns of a reason: the reactor thread that sees a client
+ * disconnect, the coordinator thread that answers the request or hears that a node drains. Any
+ * thread may call it; nothing here waits or does I/O.
  */
-final class SendPermit {
-    /** That of the whole op; null in an op's own. */
+public final class SendPermit {
+    /** The permit of the attempt's request; null in a request's own. */
     private final SendPermit requestPermit;
 
     private final long latestStartTicks;
+
+    /** Null until it is revoked. */
     private final AtomicReference<AttemptRejection> revocation = new AtomicReference<>();
 
-    /** An op's: for as long as its client waits for an answer. */
-    SendPermit() {
+    /** A request's: valid for as long as its client waits for an answer. */
+    public SendPermit() {
         this(null, Long.MAX_VALUE);
     }
 
-    private SendPermit(SendPermit op, long latestBegin) {
-        this.requestPermit = op;
-        this.latestStartTicks = latestBegin;
+    private SendPermit(SendPermit requestPermit, long latestStartTicks) {
+        this.requestPermit = requestPermit;
+        this.latestStartTicks = latestStartTicks;
     }
 
-    /** For one attempt of this op: not at latestBegin or later. */
-    SendPermit forAttempt(long latestBegin) {
-        return new SendPermit(this, latestBegin);
+    /**
+     * For one attempt of this request.
+     *
+     * @param latestStartTicks the first time at which it is too late, in ticks
+     */
+    public SendPermit forAttempt(long latestStartTicks) {
+        return new SendPermit(this, latestStartTicks);
     }
 
-    /** From now on nothing begins; the first cause stays. */
-    void revoke(AttemptRejection why) {
-        revocation.compareAndSet(null, why);
+    /** From now on nothing is sent; the first reason stays. */
+    public void revoke(AttemptRejection reason) {
+        revocation.compareAndSet(null, reason);
     }
 
-    /** Why the first byte may not go out now; null where it may. */
-    AttemptRejection rejection(long now) {
-        AttemptRejection why = revocation.get();
-        if (why == null && requestPermit != null) {
-            why = requestPermit.rejection(now);
+    /** Why the first byte may not be sent now; null if it may. */
+    public AttemptRejection rejection(long now) {
+        AttemptRejection reason = revocation.get();
+        if (reason == null && requestPermit != null) {
+            reason = requestPermit.rejection(now);
         }
-        return why == null && now >= latestStartTicks ? AttemptRejection.TOO_LATE : why;
+        return reason == null && now >= latestStartTicks ? AttemptRejection.TOO_LATE : reason;
     }
 
     /**
-     * The same for the last byte, with which a node begins. A send to a node that drains counts
-     * from its first byte: what has begun in time is finished.
+     * The same for the last byte of an attempt, with which a node begins to work on it. A request
+     * sent to a node that drains counts from its first byte: what was begun in time is finished.
      */
-    AttemptRejection rejectionOfLastByte(long now) {
-        AttemptRejection why = rejection(now);
-        return why == AttemptRejection.NODE_CLOSED ? requestPermit.rejection(now) : why;
+    public AttemptRejection rejectionOfLastByte(long now) {
+        AttemptRejection reason = rejection(now);
+        return reason == AttemptRejection.NODE_CLOSED ? requestPermit.rejection(now) : reason;
     }
 }
