--- a/src/main/java/cairnbridge/proxy/ClientExchange.java
+++ b/src/main/java/cairnbridge/proxy/ClientExchange.java
@@ -1,80 +1,62 @@
 package cairnbridge.proxy;
 
-import cairnbridge.admin.ProxyMetrics;
 import cairnbridge.admin.ProxyMetrics.AttemptRejection;
 import cairnbridge.decision.Ids.CategoryId;
 import cairnbridge.decision.Ids.KeyId;
 import cairnbridge.decision.Ids.RequestId;
-import cairnbridge.hash.Fnv1a;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
 import java.util.logging.Logger;
 import org.apache.hc.core5.http.EntityDetails;
 import org.apache.hc.core5.http.Header;
 import org.apache.hc.core5.http.HttpException;
 import org.apache.hc.core5.http.HttpRequest;
-import org.apache.hc.core5.http.HttpResponse;
-import org.apache.hc.core5.http.message.BasicHttpResponse;
-import org.apache.hc.core5.http.nio.AsyncServerExchangeHandler;
+import org.apache.hc.core5.http.HttpStatus;
 import org.apache.hc.core5.http.nio.CapacityChannel;
 import org.apache.hc.core5.http.nio.DataStreamChannel;
 import org.apache.hc.core5.http.nio.ResponseChannel;
 import org.apache.hc.core5.http.protocol.HttpContext;
 
 /**
- * One request of a client and its one answer: read on the reactor, answered by the owner thread.
+ * One request of a client and its one answer. The reactor thread calls what {@link RequestHandler}
+ * inherits from the HTTP library. The coordinator thread answers, by {@link #answerSuccess} and the
+ * methods after it, and alone uses the request id. The states may be read by any thread.
  */
-final class ClientExchange implements AsyncServerExchangeHandler {
-    static final String TRACE_ID_HEADER = "X-Trace-Id";
-    static final String TTL_HEADER = "X-Expires-In";
-    static final String IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
-    private static final String RETRY_HEADER = "X-Second-Try";
-    private static final int OK = 200;
-    private static final int BAD_REQUEST = 400;
-    private static final int NOT_FOUND = 404;
-    private static final int CONFLICT = 409;
-    private static final int BAD_GATEWAY = 502;
-    private static final int SERVICE_UNAVAILABLE = 503;
+public final class ClientExchange implements RequestHandler {
+    // Copies of the constants of RequestParser for the classes that read them here.
+    static final String TRACE_ID_HEADER = RequestParser.TRACE_ID_HEADER;
+    static final String TTL_HEADER = RequestParser.TTL_HEADER;
+    static final String IDEMPOTENCY_KEY_HEADER = RequestParser.IDEMPOTENCY_KEY_HEADER;
 
     private static final Logger LOG = Logger.getLogger(ClientExchange.class.getName());
-    private final ListenerState listenerState;
-    private final EventQueue eventQueue;
-    private final Consumer<ClientExchange> onReleased;
-    private final Runnable abortConnection;
 
-    /**
-     * over: its answer has begun; finished: the answer's last byte is handed over, or the client is
-     * gone.
-     */
-    private final AtomicBoolean answerStarted = new AtomicBoolean();
+    /** Paths that begin so are answered by the proxy itself. */
+    private static final String PROXY_PATH_PREFIX = "/-/";
+
+    private static final String READINESS_PATH = "/-/ready";
+    private static final String EXPECT_HEADER = "Expect";
+    private static final byte[] NO_BYTES = {};
+    private static final long NO_RETRY_ADVICE = 0;
 
-    /** That of all attempts for it. */
+    private final RequestContext context;
+    private final ListenerState listenerState;
+    private final ClientEvents events;
+    private final Consumer<? super ClientExchange> onReleased;
+    private final Runnable abortConnection;
     final SendPermit sendPermit = new SendPermit();
+    private final RequestBody body = new RequestBody();
+    private final ResponseSender response = new ResponseSender();
 
-    private volatile boolean requestComplete;
-    private volatile boolean announced;
-    private volatile boolean clientDisconnected;
-    private volatile boolean lastOnConnection;
-    private volatile boolean countedAsAccepted;
-    private volatile boolean warmupRequest;
-    private volatile boolean finished;
-    private volatile boolean streaming;
-    private volatile long receivedBytes;
-    private volatile ProxyMetrics.RequestOutcome outcome;
-    private ResponseChannel channel;
-    private HttpContext context;
-    private BufferedBody bufferedBody;
-    private long bodyLengthBytes;
-    private long ttlTicks;
-    private MessageBody responseBody = new ByteArrayBody(null);
-
-    /** A body that passes through; null for one that was gathered whole, as value. */
-    volatile BodyPipe requestPipe;
+    /** Null until the head has been parsed; set by the reactor before the request is announced. */
+    private ParsedRequest request;
 
+    /** Null until the coordinator thread, which alone uses it, has assigned it. */
+    RequestId requestId;
+
+    // Copies of request(), requestBody() and requestPipe() for the classes that read fields.
     String method;
     String target;
     String traceId;
@@ -84,339 +66,327 @@
     boolean write;
     boolean clientRetry;
     byte[] requestBody;
+    volatile BodyPipe requestPipe;
 
-    /** Set by the owner thread. */
-    RequestId requestId;
+    private volatile boolean requestComplete;
+    private volatile boolean announced;
+    private volatile boolean countedAsAccepted;
+    private volatile boolean clientDisconnected;
 
-    /** released is told when the library is done with it; cut ends the connection at once. */
+    /** The last byte of the answer has been written, or the client has disconnected. */
+    private volatile boolean finished;
+
+    /**
+     * An exchange whose request is yet to be received.
+     *
+     * @param events hears of the request once it is complete, or long enough to be streamed
+     * @param onReleased is called once the HTTP library is done with this exchange
+     * @param abortConnection closes the connection at once
+     */
+    public ClientExchange(
+            RequestContext context,
+            ListenerState listenerState,
+            ClientEvents events,
+            Consumer<? super ClientExchange> onReleased,
+            Runnable abortConnection) {
+        this.context = context;
+        this.listenerState = listenerState;
+        this.events = events;
+        this.onReleased = onReleased;
+        this.abortConnection = abortConnection;
+    }
+
+    /** As above with the listener's own context, for ConnectionReactor and tests. */
     ClientExchange(
-            ListenerState listen,
-            EventQueue inbox,
-            Consumer<ClientExchange> released,
-            Runnable cut) {
-        this.abortConnection = cut;
-        this.listenerState = listen;
-        this.eventQueue = inbox;
-        this.onReleased = released;
-    }
-
-    /** The request has been read to its last byte and goes its way. */
-    boolean isRequestComplete() {
-        return requestComplete;
+            ListenerState listenerState,
+            ClientEvents events,
+            Consumer<? super ClientExchange> onReleased,
+            Runnable abortConnection) {
+        this(listenerState.requestContext(), listenerState, events, onReleased, abortConnection);
     }
 
-    boolean isFinished() {
-        return finished;
+    /** The request's head; null until it has been parsed. */
+    public ParsedRequest request() {
+        return request;
     }
 
-    /** The client has left before its answer. */
-    boolean hasClientDisconnected() {
-        return clientDisconnected;
+    /** The whole body if it was buffered; empty if there is none, or if it is streamed. */
+    public byte[] requestBody() {
+        return body.bytes();
     }
 
-    /**
-     * Guards against a next request refused because it came before this thread knew that it may.
-     */
-    boolean isAnswered() {
-        return finished
-                || answerStarted.get()
-                        && (!streaming
-                                || responseBody instanceof BodyPipe answer
-                                        && answer.isLastChunkInWriting());
+    /** The body if it is streamed; null if it was buffered. */
+    public BodyPipe requestPipe() {
+        return body.pipe();
     }
 
-    /** Bytes of its body that have come. */
-    long receivedBytes() {
-        return receivedBytes;
+    /** The permit that those of all attempts for this request derive from. */
+    public SendPermit sendPermit() {
+        return sendPermit;
     }
 
-    /**
-     * The client is waited for no longer than this: its body stands still because the proxy takes
-     * none.
-     */
-    boolean isBackpressured() {
-        BodyPipe body = requestPipe;
-        return body != null && body.isBackpressured();
+    /** A pipe for an answer; its length is negative if it is unknown. */
+    public BodyPipe createPipe(long lengthBytes) {
+        return new BodyPipe(context.pipedBytes(), lengthBytes);
     }
 
-    /** How much has come of a body that passes through and may come faster; else under 0. */
-    long streamedBytesIfReadable() {
-        BodyPipe body = requestPipe;
-        return body != null && !requestComplete && !body.isBackpressured() ? receivedBytes : -1;
+    /** The coordinator's id of the request; null until it has been assigned. */
+    public RequestId requestId() {
+        return requestId;
     }
 
-    /** What passes through, either way, stands still. */
-    boolean isStalled(long now) {
-        BodyPipe body = requestPipe;
-        if (streaming && !finished && responseBody instanceof BodyPipe answer) {
-            return answer.isStalled(now);
-        }
-        return body != null && !requestComplete && body.isStalled(now);
+    /** Assigns the coordinator's id, once. */
+    public void assignRequestId(RequestId id) {
+        requestId = id;
     }
 
-    BodyPipe createPipe(long length) {
-        return new BodyPipe(listenerState.pipedBytes, length);
+    /** Whether the client has disconnected before it had its answer. */
+    public boolean hasClientDisconnected() {
+        return clientDisconnected;
     }
 
-    /** The connection ends with this one's answer. */
-    boolean isLastOnConnection() {
-        return lastOnConnection;
+    @Override
+    public String traceId() {
+        return request.traceId();
     }
 
     @Override
-    public void handleRequest(
-            HttpRequest request,
-            EntityDetails entity,
-            ResponseChannel response,
-            HttpContext httpContext)
-            throws HttpException, IOException {
-        channel = response;
-        context = httpContext;
-        method = request.getMethod();
-        target = ListenerState.pathOf(request.getRequestUri());
-        if (target.startsWith("/-/")) {
-            boolean known = target.equals("/-/ready");
-            sendAnswer(
-                    !known ? NOT_FOUND : listenerState.isReady() ? OK : SERVICE_UNAVAILABLE,
-                    new byte[0],
-                    0,
-                    entity != null);
-            return;
-        }
-        String fault = parseRequest(request);
-        if (fault != null) {
-            sendAnswer(BAD_REQUEST, fault.getBytes(StandardCharsets.US_ASCII), 0, true);
-        } else if (entity == null) {
-            completeRequest();
-        } else {
-            bufferedBody = new BufferedBody(entity);
-            bodyLengthBytes = entity.getContentLength();
-            if (request.containsHeader("Expect")) {
-                channel.sendInformation(new BasicHttpResponse(100), context);
-            }
-        }
+    public boolean isRequestComplete() {
+        return requestComplete;
+    }
+
+    @Override
+    public boolean isFinished() {
+        return finished;
     }
 
     /**
-     * Takes out the fields that decisions need; the rest goes on as it came. Returns what is
-     * malformed.
+     * Whether the client may have its answer. Guards against a next request that is rejected
+     * because it came before this thread knew that it may.
      */
-    private String parseRequest(HttpRequest request) {
-        traceId = headerValue(request, TRACE_ID_HEADER);
-        if (traceId == null || traceId.isEmpty()) {
-            return TRACE_ID_HEADER + " is missing";
-        }
-        ttlTicks = ListenerState.parseTtlTicks(headerValue(request, TTL_HEADER));
-        if (ttlTicks <= 0) {
-            return TTL_HEADER + " is missing or no span";
-        }
-        write = method.equals("PUT");
-        if (!write && !method.equals("GET")) {
-            return "method is neither GET nor PUT";
-        }
-        int query = target.indexOf('?');
-        String path = query < 0 ? target : target.substring(0, query);
-        int slash = path.indexOf('/', 1);
-        String first = path.isEmpty() ? "" : path.substring(1, slash < 0 ? path.length() : slash);
-        Integer number = path.startsWith("/") ? listenerState.categoryNumber(first) : null;
-        if (number == null) {
-            return "unknown category";
-        }
-        category = new CategoryId(number);
-        String last = slash < 0 ? "" : path.substring(path.lastIndexOf('/') + 1);
-        key = last.isEmpty() ? null : new KeyId(Fnv1a.hash(last));
-        clientRetry = "1".equals(headerValue(request, RETRY_HEADER));
-        idempotencyKey = headerValue(request, IDEMPOTENCY_KEY_HEADER);
-        return null;
+    public boolean isAnswered() {
+        return finished
+                || (response.isStarted()
+                        && (!response.isStreaming() || response.isLastChunkInWriting()));
     }
 
-    private static String headerValue(HttpRequest request, String name) {
-        Header header = request.getFirstHeader(name);
-        return header == null ? null : header.getValue();
+    @Override
+    public boolean isLastOnConnection() {
+        return response.isLastOnConnection();
     }
 
-    private void completeRequest() {
-        requestBody = bufferedBody == null ? null : bufferedBody.toByteArray();
-        bufferedBody = null;
-        requestComplete = true;
-        // Guards against an op dead on arrival: a client may take a second for its body; its TTL
-        // runs then.
-        long expires = listenerState.deadline(listenerState.clock.now(), ttlTicks);
-        Warmup warm = listenerState.warmup;
-        if (warm != null && warm.isWarmupRequest(traceId)) {
-            warmupRequest = true;
-            warm.answerWarmup(this, expires);
-        } else {
-            announceRequest(expires);
-            countAccepted();
-        }
+    @Override
+    public boolean isBackpressured() {
+        return body.isBackpressured();
     }
 
-    private void announceRequest(long latest) {
-        announced = true;
-        eventQueue.post(new ProxyEvent.RequestArrived(this, latest));
+    @Override
+    public long receivedBytes() {
+        return body.receivedBytes();
     }
 
-    /**
-     * The body is too long to be gathered: the op is placed now, and its TTL runs from the last
-     * byte.
-     */
-    private void startStreaming(ByteBuffer src) {
-        BodyPipe through = createPipe(bodyLengthBytes);
-        through.append(ByteBuffer.wrap(bufferedBody.toByteArray()));
-        through.append(src);
-        bufferedBody = null;
-        requestPipe = through;
-        announceRequest(
-                listenerState.streamingDeadline(
-                        listenerState.clock.now(),
-                        ttlTicks,
-                        (bodyLengthBytes < 0 ? MessageFraming.MAX_BODY_BYTES : bodyLengthBytes)
-                                - receivedBytes));
+    /** How much of a streamed body has been received if more may come at once; else under 0. */
+    public long streamedBytesIfReadable() {
+        boolean readable = body.isStreamed() && !requestComplete && !body.isBackpressured();
+        return readable ? body.receivedBytes() : -1;
     }
 
-    private void countAccepted() {
-        if (!countedAsAccepted) {
-            countedAsAccepted = true;
-            listenerState.metrics.requestAccepted();
+    @Override
+    public boolean isStalled(long nowNanos) {
+        if (response.hasStreamedBody() && !finished) {
+            return response.isStalled(nowNanos);
         }
+        return !requestComplete && body.isStalled(nowNanos);
     }
 
-    /**
-     * The op is over, its answer's last byte handed over. Once; what the rehearsal sends never
-     * counts.
-     */
-    private void finish() {
-        if (finished) {
+    @Override
+    public void handleRequest(
+            HttpRequest head,
+            EntityDetails entity,
+            ResponseChannel responseChannel,
+            HttpContext httpContext)
+            throws HttpException, IOException {
+        response.open(responseChannel, httpContext);
+        String target = RequestParser.pathOf(head.getRequestUri());
+        if (target.startsWith(PROXY_PATH_PREFIX)) {
+            sendAnswer(proxyPathStatus(target), NO_BYTES, NO_RETRY_ADVICE, entity != null);
             return;
         }
-        finished = true;
-        if (warmupRequest || !announced) {
+        try {
+            request = RequestParser.parse(head, target, context);
+        } catch (MalformedRequestException e) {
+            byte[] fault = e.getMessage().getBytes(StandardCharsets.US_ASCII);
+            sendAnswer(HttpStatus.SC_BAD_REQUEST, fault, NO_RETRY_ADVICE, true);
+            return;
+        }
+        copyRequest();
+        if (entity == null) {
+            completeRequest();
             return;
         }
-        countAccepted();
-        if (outcome == null) {
-            listenerState.metrics.clientLeft();
-        } else {
-            listenerState.metrics.requestEnded(category.value(), outcome);
+        body.expect(entity);
+        if (head.containsHeader(EXPECT_HEADER)) {
+            response.sendContinue();
+        }
+    }
+
+    private void copyRequest() {
+        method = request.method();
+        target = request.target();
+        traceId = request.traceId();
+        idempotencyKey = request.idempotencyKey();
+        category = request.category();
+        key = request.key();
+        write = request.write();
+        clientRetry = request.clientRetry();
+    }
+
+    private int proxyPathStatus(String target) {
+        if (!target.equals(READINESS_PATH)) {
+            return HttpStatus.SC_NOT_FOUND;
         }
+        return listenerState.isReady() ? HttpStatus.SC_OK : HttpStatus.SC_SERVICE_UNAVAILABLE;
     }
 
     @Override
-    public void consume(ByteBuffer src) throws IOException {
-        receivedBytes += src.remaining();
-        if (receivedBytes > MessageFraming.MAX_BODY_BYTES) {
+    public void consume(ByteBuffer source) throws IOException {
+        body.countReceived(source.remaining());
+        if (body.isTooLong()) {
             abortConnection.run();
-        } else if (requestPipe != null) {
-            requestPipe.append(src);
-        } else if (bufferedBody != null && !answerStarted.get() && !bufferedBody.tryAppend(src)) {
-            startStreaming(src);
+        } else if (body.isStreamed()) {
+            body.pipe().append(source);
+        } else if (body.isBuffering() && !response.isStarted() && !body.tryBuffer(source)) {
+            startStreaming(source);
         }
     }
 
     @Override
     public void streamEnd(List<? extends Header> trailers) {
-        if (requestPipe != null) {
+        if (body.isStreamed()) {
             requestComplete = true;
             if (!finished) {
                 countAccepted();
             }
-            requestPipe.finish();
-            eventQueue.post(
-                    new ProxyEvent.RequestBodyCompleted(
-                            this, listenerState.deadline(listenerState.clock.now(), ttlTicks)));
-        } else if (bufferedBody != null && !answerStarted.get()) {
+            body.pipe().finish();
+            events.requestBodyCompleted(this, deadline());
+        } else if (body.isBuffering() && !response.isStarted()) {
             completeRequest();
         }
     }
 
-    /** The id is that of an op that is open. */
-    void rejectConflict() {
-        sendAnswer(CONFLICT, new byte[0], 0, true);
+    @Override
+    public void updateCapacity(CapacityChannel capacity) throws IOException {
+        body.requestCapacity(capacity);
+    }
+
+    private void completeRequest() {
+        body.completeBuffered();
+        requestBody = body.bytes();
+        requestComplete = true;
+        // Guards against a request that is expired on arrival: a client may take a second for its
+        // body; its TTL runs from then.
+        long deadlineTicks = deadline();
+        if (!context.filter().intercept(this, deadlineTicks)) {
+            announce(deadlineTicks);
+            countAccepted();
+        }
+    }
+
+    /**
+     * The body is too long to be buffered: the request is announced now, and its TTL runs from the
+     * last byte.
+     */
+    private void startStreaming(ByteBuffer source) {
+        body.startStreaming(context.pipedBytes(), source);
+        requestPipe = body.pipe();
+        announce(
+                context.streamingDeadline(
+                        context.clock().now(), request.ttlTicks(), body.remainingBytes()));
+    }
+
+    private long deadline() {
+        return context.deadline(context.clock().now(), request.ttlTicks());
     }
 
-    /** As a cache would say it: only the rehearsal has this proxy in a cache's place. */
-    void answerNotFound() {
-        sendAnswer(NOT_FOUND, new byte[0], 0, false);
+    private void announce(long deadlineTicks) {
+        announced = true;
+        events.requestArrived(this, deadlineTicks);
+    }
+
+    private void countAccepted() {
+        if (!countedAsAccepted) {
+            countedAsAccepted = true;
+            context.metrics().requestAccepted();
+        }
+    }
+
+    /** Sends a cache's answer, byte for byte. */
+    public void answerSuccess(byte[] answer) {
+        sendAnswer(HttpStatus.SC_OK, answer, NO_RETRY_ADVICE, false);
     }
 
-    /** The cache's answer passes through from now on, byte for byte. */
-    void streamAnswer(BodyPipe answer) {
-        streaming = true;
-        if (!startAnswer(OK, answer, 0, false)) {
+    /** Streams a cache's answer from now on, byte for byte. */
+    public void streamAnswer(BodyPipe answer) {
+        response.markStreaming();
+        if (!startAnswer(HttpStatus.SC_OK, answer, NO_RETRY_ADVICE, false)) {
             answer.discard();
         }
     }
 
-    /** The cache's answer, byte for byte. */
-    void answerSuccess(byte[] bytes) {
-        sendAnswer(OK, bytes, 0, false);
+    /** Answers as a cache without the value; only during warm-up is this proxy in its place. */
+    public void answerNotFound() {
+        sendAnswer(HttpStatus.SC_NOT_FOUND, NO_BYTES, NO_RETRY_ADVICE, false);
     }
 
-    void rejectRetryable(long retryAfter) {
-        sendAnswer(SERVICE_UNAVAILABLE, new byte[0], retryAfter, false);
+    /** Rejects the request because its trace id is that of an open one. */
+    public void rejectConflict() {
+        sendAnswer(HttpStatus.SC_CONFLICT, NO_BYTES, NO_RETRY_ADVICE, true);
     }
 
-    void failPermanently() {
-        sendAnswer(BAD_GATEWAY, new byte[0], 0, false);
+    /**
+     * Rejects the request, which the client may try again.
+     *
+     * @param retryAfterTicks what it is advised to wait before that; 0 for no advice
+     */
+    public void rejectRetryable(long retryAfterTicks) {
+        sendAnswer(HttpStatus.SC_SERVICE_UNAVAILABLE, NO_BYTES, retryAfterTicks, false);
+    }
+
+    /** The request has failed for good. */
+    public void failPermanently() {
+        sendAnswer(HttpStatus.SC_BAD_GATEWAY, NO_BYTES, NO_RETRY_ADVICE, false);
     }
 
-    private void sendAnswer(int code, byte[] bytes, long retryAfter, boolean close) {
-        if (streaming) {
+    private void sendAnswer(int status, byte[] answer, long retryAfterTicks, boolean close) {
+        if (response.isStreaming()) {
             // Guards against an answer that broke off and seems whole: its connection ends before
             // it does.
-            outcome = ProxyMetrics.RequestOutcome.FAILURE;
+            response.markFailed();
             finish();
             abortConnection.run();
             return;
         }
-        startAnswer(code, new ByteArrayBody(bytes), retryAfter, close);
-        if (requestPipe != null) {
-            requestPipe.discard(); // What is still to come of the op's body goes nowhere.
-        }
+        startAnswer(status, new ByteArrayBody(answer), retryAfterTicks, close);
+        body.discardStream();
     }
 
-    /** False where the client has been answered, or has left. */
-    private boolean startAnswer(int code, MessageBody bytes, long retryAfter, boolean close) {
-        if (!answerStarted.compareAndSet(false, true)) {
+    /** Returns false if the client has been answered, or has disconnected. */
+    private boolean startAnswer(
+            int status, MessageBody answer, long retryAfterTicks, boolean close) {
+        if (!response.tryStart()) {
             return false;
         }
         sendPermit.revoke(AttemptRejection.OP_OVER);
-        HttpResponse response = new BasicHttpResponse(code);
-        if (retryAfter > 0) {
-            // Without a formatter: nacks come by hundreds just when time is short.
-            String fraction =
-                    Long.toString(
-                                    TickClock.TICKS_PER_SECOND
-                                            + retryAfter % TickClock.TICKS_PER_SECOND)
-                            .substring(1);
-            response.addHeader(
-                    "Retry-After", retryAfter / TickClock.TICKS_PER_SECOND + "." + fraction);
-        }
-        if (close
-                || listenerState.isClosingConnections()
-                || requestPipe != null && !requestComplete) {
-            lastOnConnection = true;
-            response.addHeader("Connection", "close");
-        }
-        responseBody = bytes;
-        outcome =
-                switch (code) {
-                    case OK -> ProxyMetrics.RequestOutcome.SUCCESS;
-                    case SERVICE_UNAVAILABLE -> ProxyMetrics.RequestOutcome.BUSY;
-                    case BAD_GATEWAY -> ProxyMetrics.RequestOutcome.FAILURE;
-                    default -> null; // Not an op of its client's.
-                };
+        boolean bodyIncomplete = body.isStreamed() && !requestComplete;
+        boolean last = close || listenerState.isClosingConnections() || bodyIncomplete;
         try {
-            EntityDetails entity = bytes.entityDetails();
-            channel.sendResponse(response, entity, context);
-            if (entity == null) {
+            if (response.send(status, answer, retryAfterTicks, last)) {
                 finish();
             }
         } catch (HttpException | IOException e) {
             // The client's connection broke under the answer: nothing is owed to it any more.
             clientDisconnected = true;
-            channel.terminateExchange();
+            response.terminate();
             finish();
         }
         return true;
@@ -424,50 +394,54 @@
 
     @Override
     public int available() {
-        return responseBody.availableBytes();
+        return response.availableBytes();
     }
 
     @Override
     public void produce(DataStreamChannel out) throws IOException {
-        if (responseBody.writeTo(out)) {
+        if (response.writeTo(out)) {
             finish();
         }
     }
 
-    @Override
-    public void updateCapacity(CapacityChannel capacity) throws IOException {
-        if (requestPipe != null) {
-            requestPipe.requestCapacity(capacity);
-        } else {
-            capacity.update(BufferedBody.MAX_BYTES);
-        }
-    }
-
     @Override
     public void failed(Exception cause) {
-        // Guards against an attempt that begins while the owner has not yet heard that its client
-        // has gone.
+        // Guards against an attempt that begins while the coordinator has not yet heard that its
+        // client has disconnected.
         sendPermit.revoke(AttemptRejection.CLIENT_GONE);
         clientDisconnected = true;
-        boolean unanswered = answerStarted.compareAndSet(false, true);
-        if (streaming && !finished) {
+        boolean unanswered = response.tryStart();
+        if (isStreamingAnswer()) {
             LOG.info("an answer that passed through broke off at the client: " + cause);
         }
-        if (announced && (unanswered || streaming && !finished)) {
-            outcome = null;
-            eventQueue.post(new ProxyEvent.ClientDisconnected(this));
-        }
-        for (MessageBody each : new MessageBody[] {requestPipe, responseBody}) {
-            if (each instanceof BodyPipe passing) {
-                passing.discard();
-            }
+        if (announced && (unanswered || isStreamingAnswer())) {
+            response.clearOutcome();
+            events.clientDisconnected(this);
         }
+        body.discardStream();
+        response.discardStream();
         finish();
     }
 
+    private boolean isStreamingAnswer() {
+        return response.isStreaming() && !finished;
+    }
+
+    /** Counts the outcome of a request that was announced, once. */
+    private void finish() {
+        if (finished) {
+            return;
+        }
+        finished = true;
+        if (announced) {
+            countAccepted();
+            response.countOutcome(context.metrics(), request.category());
+        }
+    }
+
     @Override
     public void releaseResources() {
-        bufferedBody = null;
+        body.releaseBuffer();
         onReleased.accept(this);
     }
 }
--- a/src/main/java/cairnbridge/proxy/ListenerState.java
+++ b/src/main/java/cairnbridge/proxy/ListenerState.java
@@ -1,141 +1,116 @@
 package cairnbridge.proxy;
 
 import cairnbridge.admin.ProxyMetrics;
-import java.util.HashMap;
+import com.google.errorprone.annotations.concurrent.GuardedBy;
 import java.util.List;
-import java.util.Map;
-import java.util.concurrent.atomic.AtomicLong;
 
-/** What is read off every request, and whether the proxy takes ops yet or is about to end. */
-final class ListenerState {
-    /** Whether the proxy takes requests. */
-    enum State {
+/**
+ * Whether the proxy accepts requests. Readiness, the closing of connections with their answers and
+ * the closing of idle connections all derive from this one state. Any thread may call it.
+ */
+public final class ListenerState {
+    /** Whether the proxy accepts requests. */
+    public enum State {
+        /** Not yet; connections may be open already. */
         STARTING,
+        /** Requests are accepted. */
         SERVING,
+        /** Requests are answered, and clients asked to go elsewhere. */
         STANDBY,
+        /** The proxy shuts down. */
         DRAINING
     }
 
-    /**
-     * No op is kept longer, whatever its client says: an hour of patience would be an hour of
-     * memory.
-     */
-    private static final long MAX_TTL_TICKS = 60 * TickClock.TICKS_PER_SECOND;
-
-    /** Bytes a millisecond that a client gives of its body, at the least. */
-    static final long MIN_BODY_BYTES_PER_MILLI = 48;
-
-    final TickClock clock;
+    /** The slowest that a client may send its body, in bytes per millisecond. */
+    public static final long MIN_BODY_BYTES_PER_MILLI = 48;
 
-    /** What all pipes hold. */
-    final AtomicLong pipedBytes = new AtomicLong();
-
-    private volatile long shutdownDeadlineTicks = Long.MAX_VALUE;
-    private final Map<String, Integer> categories = new HashMap<>();
-
-    /**
-     * Ready, "the answer closes" and the closing of idle connections all derive from this one
-     * state.
-     */
     private volatile State state = State.STARTING;
 
+    @GuardedBy("this")
     private boolean standbyRequested;
+
+    /** Written by ConnectionReactor until it calls {@link #setCrowded}. */
     volatile boolean crowded;
-    final ProxyMetrics metrics;
 
-    /** Its requests are none of the clients'; it stays, to know them. */
+    /** Read by ProxyServer and Warmup until they are given the clock or the request context. */
+    final TickClock clock;
+
+    /** Set by Warmup until it is a {@link RequestFilter} of the request context. */
     volatile Warmup warmup;
 
-    ListenerState(TickClock clock, List<String> names, ProxyMetrics figures) {
-        this.metrics = figures;
-        this.clock = clock;
-        names.forEach(name -> categories.putIfAbsent(name, categories.size()));
-    }
+    private final RequestContext requestContext;
 
-    State state() {
-        return state;
-    }
-
-    /** The start is over. */
-    synchronized void startServing() {
-        state = state == State.STARTING ? standbyRequested ? State.STANDBY : State.SERVING : state;
+    /** Until ProxyServer makes the request context itself, which ClientExchange is then given. */
+    ListenerState(TickClock clock, List<String> categories, ProxyMetrics metrics) {
+        this.clock = clock;
+        requestContext = new RequestContext(clock, categories, metrics);
+        requestContext.setFilter(new WarmupFilter());
     }
 
-    /** Guards against a call that makes a proxy ready which has not started yet, or which ends. */
-    synchronized void setStandby(boolean on) {
-        standbyRequested = on;
-        if (state == State.SERVING || state == State.STANDBY) {
-            state = on ? State.STANDBY : State.SERVING;
+    /** Calls Warmup as long as that is no filter itself. */
+    private final class WarmupFilter implements RequestFilter {
+        @Override
+        public boolean intercept(ClientExchange exchange, long deadlineTicks) {
+            Warmup current = warmup;
+            boolean owned = current != null && current.isWarmupRequest(exchange.traceId());
+            if (owned) {
+                current.answerWarmup(exchange, deadlineTicks);
+            }
+            return owned;
         }
     }
 
-    synchronized void startDraining() {
-        state = State.DRAINING;
+    /** As {@link RequestContext#setShutdownDeadline}, until ProxyServer calls that. */
+    void setShutdownDeadline(long ticks) {
+        requestContext.setShutdownDeadline(ticks);
     }
 
-    boolean isReady() {
-        return state == State.SERVING;
+    /** What the requests of this listener are read with. */
+    RequestContext requestContext() {
+        return requestContext;
     }
 
-    /** The connection is to end with the answer given on it. */
-    boolean isClosingConnections() {
-        State now = state;
-        return crowded || now == State.STANDBY || now == State.DRAINING;
+    /** The present state. */
+    public State state() {
+        return state;
     }
 
-    /** No op is kept beyond this time of the clock. */
-    void setShutdownDeadline(long end) {
-        shutdownDeadlineTicks = end;
+    /** The start is complete. */
+    public synchronized void startServing() {
+        if (state == State.STARTING) {
+            state = standbyRequested ? State.STANDBY : State.SERVING;
+        }
     }
 
     /**
-     * When an op read at a time ends: as its client says, a minute at most, and before the proxy
-     * does.
+     * Puts the proxy into standby or back. Guards against a command that makes a proxy ready which
+     * has not started yet, or which shuts down.
      */
-    long deadline(long now, long ttl) {
-        return Math.min(now + Math.min(ttl, MAX_TTL_TICKS), shutdownDeadlineTicks);
+    public synchronized void setStandby(boolean on) {
+        standbyRequested = on;
+        if (state == State.SERVING || state == State.STANDBY) {
+            state = on ? State.STANDBY : State.SERVING;
+        }
     }
 
-    /** The same for one whose body passes through: its client may take its time for the rest. */
-    long streamingDeadline(long now, long ttl, long left) {
-        long slowest =
-                left / MIN_BODY_BYTES_PER_MILLI * TickClock.TICKS_PER_MILLI
-                        + TickClock.TICKS_PER_SECOND;
-        return Math.min(now + Math.min(ttl, MAX_TTL_TICKS) + slowest, shutdownDeadlineTicks);
+    /** The proxy shuts down; no other state follows. */
+    public synchronized void startDraining() {
+        state = State.DRAINING;
     }
 
-    /** Guards against the absolute form, which every server has to take: only its path goes on. */
-    static String pathOf(String target) {
-        int scheme = target.startsWith("/") ? -1 : target.indexOf("://");
-        int path = scheme < 0 ? 0 : target.indexOf('/', scheme + 3);
-        return path < 0 ? "/" : target.substring(path);
+    /** Whether load balancers may send clients here. */
+    public boolean isReady() {
+        return state == State.SERVING;
     }
 
-    /** A category's number by its name, or null. */
-    Integer categoryNumber(String name) {
-        return categories.get(name);
+    /** Whether a connection is to be closed with the next answer on it. */
+    public boolean isClosingConnections() {
+        State current = state;
+        return crowded || current == State.STANDBY || current == State.DRAINING;
     }
 
-    /**
-     * A number and a unit, m for milliseconds or u for microseconds, in tenths; 0 where it is none.
-     */
-    static long parseTtlTicks(String text) {
-        int last = text == null ? 0 : text.length() - 1;
-        if (last < 1 || last > 12) {
-            return 0;
-        }
-        long number = 0;
-        for (int i = 0; i < last; i++) {
-            int digit = text.charAt(i) - '0';
-            if (digit < 0 || digit > 9) {
-                return 0;
-            }
-            number = number * 10 + digit;
-        }
-        return switch (text.charAt(last)) {
-            case 'm' -> number * TickClock.TICKS_PER_MILLI;
-            case 'u' -> number / (1000 / TickClock.TICKS_PER_MILLI);
-            default -> 0;
-        };
+    /** Whether clients hold so many connections that each is to end with its next answer. */
+    public void setCrowded(boolean crowded) {
+        this.crowded = crowded;
     }
 }
