--- a/src/main/java/cairnbridge/proxy/ClientExchange.java
+++ b/src/main/java/cairnbridge/proxy/ClientExchange.java
@@ -9,6 +9,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.function.Consumer;
+import java.util.logging.Level;
 import java.util.logging.Logger;
 import org.apache.hc.core5.http.EntityDetails;
 import org.apache.hc.core5.http.Header;
@@ -412,7 +413,10 @@
         clientDisconnected = true;
         boolean unanswered = response.tryStart();
         if (isStreamingAnswer()) {
-            LOG.info("an answer that passed through broke off at the client: " + cause);
+            LOG.log(
+                    Level.INFO,
+                    "client: streamed response aborted by the client: {0}",
+                    String.valueOf(cause));
         }
         if (announced && (unanswered || isStreamingAnswer())) {
             response.clearOutcome();
