--- /dev/null
+++ b/src/main/java/cairnbridge/proxy/ProxyComponents.java
@@ -0,0 +1,105 @@
+package cairnbridge.proxy;
+
+import cairnbridge.admin.ProxyMetrics;
+import cairnbridge.config.ProxyConfig;
+import cairnbridge.decision.WarmStartState;
+import java.util.concurrent.ScheduledExecutorService;
+import java.util.concurrent.ScheduledThreadPoolExecutor;
+import java.util.concurrent.ThreadPoolExecutor;
+
+/**
+ * The parts of one proxy, made and wired but not started.
+ *
+ * @param criticalThreads makes the threads that the proxy cannot do without
+ * @param eventQueue what waits for the coordinator
+ * @param siblings other processes that serve at the same address
+ * @param listenerState whether the proxy takes requests
+ * @param scheduler runs what is done periodically, on one daemon thread
+ */
+record ProxyComponents(
+        ProxyConfig config,
+        TickClock clock,
+        CriticalThreads criticalThreads,
+        EventQueue eventQueue,
+        ProxyMetrics metrics,
+        SiblingProcesses siblings,
+        ListenerState listenerState,
+        ConnectionReactor reactor,
+        ScheduledExecutorService scheduler,
+        DiscoveryWatch discoveryWatch,
+        MaintenanceMarks maintenanceMarks,
+        RequestCoordinator coordinator) {
+    /**
+     * Each connection has a few events in the queue at most, so that it is never full in practice.
+     */
+    private static final int EVENTS_PER_SOCKET = 8;
+
+    private static final String SCHEDULER_THREAD_NAME = "roster";
+
+    /**
+     * Makes the parts of one proxy.
+     *
+     * @param previousRun what an earlier process learnt; used unless the configuration's warm start
+     *     file is younger
+     */
+    static ProxyComponents create(
+            ProxyConfig config,
+            CriticalThreads criticalThreads,
+            TickClock clock,
+            WarmStartState previousRun) {
+        EventQueue eventQueue = new EventQueue(EVENTS_PER_SOCKET * config.network().maxSockets());
+        ProxyMetrics metrics = new ProxyMetrics(config.names().categories());
+        SiblingProcesses siblings = new SiblingProcesses(config.stateFolder());
+        ListenerState listenerState =
+                new ListenerState(clock, config.names().categories(), metrics);
+        ConnectionReactor reactor =
+                new ConnectionReactor(config, eventQueue, listenerState, criticalThreads);
+        ScheduledExecutorService scheduler = createScheduler();
+        DiscoveryWatch discoveryWatch =
+                new DiscoveryWatch(config, reactor, eventQueue, scheduler, metrics);
+        // Guards against a change of maintenance that is refused, and kept by nobody, while a
+        // starting process has no endpoint list.
+        MaintenanceMarks maintenanceMarks =
+                new MaintenanceMarks(
+                        config.stateFolder(),
+                        eventQueue,
+                        node -> discoveryWatch.isListed(node) || !discoveryWatch.hasList(),
+                        siblings::hasSiblings);
+        WarmStartState warmStartFile = config.readWarmStart();
+        RequestCoordinator coordinator =
+                new RequestCoordinator(
+                        config,
+                        eventQueue,
+                        clock,
+                        reactor,
+                        discoveryWatch,
+                        previousRun.recordedAt() > warmStartFile.recordedAt()
+                                ? previousRun
+                                : warmStartFile,
+                        metrics);
+        return new ProxyComponents(
+                config,
+                clock,
+                criticalThreads,
+                eventQueue,
+                metrics,
+                siblings,
+                listenerState,
+                reactor,
+                scheduler,
+                discoveryWatch,
+                maintenanceMarks,
+                coordinator);
+    }
+
+    private static ScheduledExecutorService createScheduler() {
+        return new ScheduledThreadPoolExecutor(
+                1,
+                task -> {
+                    Thread thread = new Thread(task, SCHEDULER_THREAD_NAME);
+                    thread.setDaemon(true);
+                    return thread;
+                },
+                new ThreadPoolExecutor.DiscardPolicy());
+    }
+}
--- a/src/main/java/cairnbridge/proxy/SiblingProcesses.java
+++ b/src/main/java/cairnbridge/proxy/SiblingProcesses.java
@@ -14,104 +14,121 @@
 import java.util.stream.Stream;
 
 /**
- * The processes that serve at the same place: each leaves a mark in the folder that they share, by
- * its number and its start. A mark counts while its process lives: what one that was killed leaves
- * behind says nothing.
+ * The other processes that serve at the same address. Each leaves marker files in a folder that all
+ * share, named by its process id and its start. A marker counts while its process runs, so that one
+ * left behind by a process that was killed has no effect.
+ *
+ * <p>The thread of the start, the scheduler, the admin endpoint and the thread that drains call it.
  */
 final class SiblingProcesses {
     private static final Logger LOG = Logger.getLogger(SiblingProcesses.class.getName());
     private static final Pattern MARK_NAME =
             Pattern.compile("(runs|ready)-([0-9]{1,18})-([0-9]{1,18})");
-
-    private record ProcessMark(boolean ready, long processId, long startedAtMillis, Path file) {}
-
     private static final String RUNNING = "runs";
     private static final String READY = "ready";
+    private static final String UNFINISHED = "next";
+
+    /**
+     * The marker of another process.
+     *
+     * @param ready whether it says that the process is ready, else that it runs
+     */
+    private record ProcessMark(boolean ready, long processId, long startedAtMillis, Path file) {}
 
-    private final DeduplicatedLog deduplicatedLog = new DeduplicatedLog(LOG, "beside");
+    private final DeduplicatedLog deduplicatedLog = new DeduplicatedLog(LOG, "siblings");
     private final Optional<Path> sharedFolder;
     private final long processId = ProcessHandle.current().pid();
     private final long startedAtMillis = System.currentTimeMillis();
 
-    /** folder is empty where none is shared: then nobody is beside this process. */
-    SiblingProcesses(Optional<Path> folder) {
-        this.sharedFolder = folder;
+    /**
+     * Marks nothing yet.
+     *
+     * @param sharedFolder empty if there is none: then this process has no siblings
+     */
+    SiblingProcesses(Optional<Path> sharedFolder) {
+        this.sharedFolder = sharedFolder;
     }
 
+    /** From now on others know that this process runs. */
     void markRunning() {
         writeMark(RUNNING);
     }
 
+    /** From now on others know that this process is ready for clients. */
     void markReady() {
         writeMark(READY);
     }
 
-    private Path markFile(Path shared, String word) {
-        return shared.resolve(word + "-" + processId + "-" + startedAtMillis);
+    private Path markFile(Path shared, String kind) {
+        return shared.resolve(kind + "-" + processId + "-" + startedAtMillis);
     }
 
-    private void writeMark(String word) {
-        sharedFolder.ifPresent(
-                shared -> {
-                    try {
-                        Files.writeString(markFile(shared, word), "");
-                    } catch (IOException e) {
-                        deduplicatedLog.warnOnce("no mark left, " + e);
-                    }
-                });
+    private void writeMark(String kind) {
+        if (sharedFolder.isEmpty()) {
+            return;
+        }
+        try {
+            Files.writeString(markFile(sharedFolder.get(), kind), "");
+        } catch (IOException e) {
+            deduplicatedLog.warnOnce("cannot create marker: {0}", e);
+        }
     }
 
+    /** From now on others do not count on this process. */
     void removeMarks() {
-        sharedFolder.ifPresent(
-                shared -> {
-                    for (String word : List.of(RUNNING, READY)) {
-                        try {
-                            Files.deleteIfExists(markFile(shared, word));
-                        } catch (IOException e) {
-                            deduplicatedLog.warnOnce("a mark stays, " + e);
-                        }
-                    }
-                });
+        if (sharedFolder.isEmpty()) {
+            return;
+        }
+        for (String kind : List.of(RUNNING, READY)) {
+            try {
+                Files.deleteIfExists(markFile(sharedFolder.get(), kind));
+            } catch (IOException e) {
+                deduplicatedLog.warnOnce("cannot delete marker: {0}", e);
+            }
+        }
     }
 
-    /** Whether another process lives that shares this one's limits. */
+    /** Whether another process runs that shares this one's limits. */
     boolean hasSiblings() {
         return !readMarks().isEmpty();
     }
 
-    /** Whether one that began later is ready for all that comes to the shared address. */
+    /** Whether a process that started later is ready for all clients of the shared address. */
     boolean hasReadySuccessor() {
         return readMarks().stream()
                 .anyMatch(mark -> mark.ready && mark.startedAtMillis > startedAtMillis);
     }
 
     /**
-     * Tells the others how many descriptors this process holds; how many they hold together, 0 if
-     * alone.
+     * Publishes how many descriptors this process has open, and returns how many the others have
+     * open together; 0 if there are none.
      */
-    int exchangeDescriptorCounts(int held) {
+    int exchangeDescriptorCounts(int openDescriptors) {
         List<ProcessMark> others = readMarks().stream().filter(mark -> !mark.ready).toList();
         if (others.isEmpty()) {
             return 0;
         }
         try {
-            // Guards against a number read half: it is put in place whole.
-            Path fresh = markFile(sharedFolder.get(), "next");
-            Files.writeString(fresh, Integer.toString(held));
-            Files.move(
-                    fresh, markFile(sharedFolder.get(), RUNNING), StandardCopyOption.ATOMIC_MOVE);
+            publishDescriptorCount(sharedFolder.get(), openDescriptors);
         } catch (IOException e) {
-            deduplicatedLog.warnOnce("what this process holds cannot be told, " + e);
+            deduplicatedLog.warnOnce("cannot publish descriptor count: {0}", e);
         }
         return others.stream().mapToInt(mark -> readDescriptorCount(mark.file)).sum();
     }
 
+    /** Guards against a number that is read half written: it is put in place whole. */
+    private void publishDescriptorCount(Path shared, int openDescriptors) throws IOException {
+        Path unfinished = markFile(shared, UNFINISHED);
+        Files.writeString(unfinished, Integer.toString(openDescriptors));
+        Files.move(unfinished, markFile(shared, RUNNING), StandardCopyOption.ATOMIC_MOVE);
+    }
+
     private int readDescriptorCount(Path mark) {
         try {
             String text = Files.readString(mark);
-            return text.isEmpty() ? 0 : Integer.parseInt(text); // It has not told yet.
+            return text.isEmpty() ? 0 : Integer.parseInt(text); // It has published none yet.
         } catch (IOException | NumberFormatException e) {
-            deduplicatedLog.warnOnce("a mark cannot be read, " + e);
+            deduplicatedLog.warnOnce("cannot read marker: {0}", e);
             return 0;
         }
     }
@@ -122,24 +139,26 @@
             return marks;
         }
         try (Stream<Path> files = Files.list(sharedFolder.get())) {
-            files.forEach(
-                    file -> {
-                        Matcher found = MARK_NAME.matcher(file.getFileName().toString());
-                        if (found.matches()) {
-                            long process = Long.parseLong(found.group(2));
-                            if (process != processId && ProcessHandle.of(process).isPresent()) {
-                                marks.add(
-                                        new ProcessMark(
-                                                found.group(1).equals(READY),
-                                                process,
-                                                Long.parseLong(found.group(3)),
-                                                file));
-                            }
-                        }
-                    });
+            files.forEach(file -> addMark(file, marks));
         } catch (IOException | UncheckedIOException e) {
-            deduplicatedLog.warnOnce("the marks cannot be read, " + e);
+            deduplicatedLog.warnOnce("cannot list markers: {0}", e);
         }
         return marks;
     }
+
+    private void addMark(Path file, List<ProcessMark> marks) {
+        Matcher name = MARK_NAME.matcher(file.getFileName().toString());
+        if (!name.matches()) {
+            return;
+        }
+        long markedProcessId = Long.parseLong(name.group(2));
+        if (markedProcessId != processId && ProcessHandle.of(markedProcessId).isPresent()) {
+            marks.add(
+                    new ProcessMark(
+                            name.group(1).equals(READY),
+                            markedProcessId,
+                            Long.parseLong(name.group(3)),
+                            file));
+        }
+    }
 }
--- a/src/main/java/cairnbridge/proxy/StatePersistence.java
+++ b/src/main/java/cairnbridge/proxy/StatePersistence.java
@@ -1,89 +1,90 @@
 package cairnbridge.proxy;
 
 import cairnbridge.config.FleetConfig;
-import cairnbridge.config.ProxyConfig;
+import cairnbridge.decision.Ids.NodeId;
 import cairnbridge.fleet.FleetMember;
 import cairnbridge.fleet.member.MemberId;
 import cairnbridge.recovery.EndpointListHistory;
 import cairnbridge.recovery.StateKeeper;
 import cairnbridge.store.LogRecord;
 import cairnbridge.store.PersistedState;
+import java.util.Map;
 import java.util.Optional;
+import java.util.concurrent.CompletableFuture;
 
 /**
- * What of a proxy is kept on its disk, put together from its parts; made before the proxy starts.
+ * What a proxy persists on its disk: the endpoint list, the nodes in maintenance, the fleet's
+ * members and plan, and the trust in nodes. It is wired before the proxy starts; after that the
+ * store's thread asks it for the state that is to be written.
  */
-final class StatePersistence {
+final class StatePersistence implements Persistence {
     private final StateKeeper stateKeeper;
     private final RecoveryLink recoveryLink;
     private final EndpointListHistory endpointListHistory = new EndpointListHistory();
     private final MaintenanceMarks maintenanceMarks;
     private final RequestCoordinator coordinator;
-    private FleetMember fleetMember;
 
-    StatePersistence(
-            StateKeeper keeper,
-            ProxyConfig config,
-            FleetConfig of,
-            MaintenanceMarks maintenance,
-            DiscoveryWatch watch,
-            RequestCoordinator decide,
-            EventQueue inbox,
-            long now) {
-        this.stateKeeper = keeper;
-        this.maintenanceMarks = maintenance;
-        this.coordinator = decide;
-        MemberId me = of.transport().identity().id();
+    /** Wires the parts of a proxy that is not started yet to what is persisted. */
+    StatePersistence(ProxyComponents components, FleetConfig fleetConfig, StateKeeper stateKeeper) {
+        this.stateKeeper = stateKeeper;
+        maintenanceMarks = components.maintenanceMarks();
+        coordinator = components.coordinator();
+        long nowTicks = components.clock().now();
+        MemberId self = fleetConfig.transport().identity().id();
+        DiscoveryWatch discoveryWatch = components.discoveryWatch();
         recoveryLink =
                 new RecoveryLink(
-                        config,
-                        keeper,
-                        me.name(),
-                        of.location().zone(),
+                        components.config(),
+                        stateKeeper,
+                        self.name(),
+                        fleetConfig.location().zone(),
                         endpointListHistory,
-                        watch,
-                        inbox,
-                        now);
-        watch.setHistory(endpointListHistory);
-        watch.setVersionFloor(keeper.restored().endpointList().version());
-        decide.setRecovery(recoveryLink);
-        maintenance.setPersistence(
-                (node, on) ->
-                        keeper.store()
-                                .append(
-                                        on
-                                                ? LogRecord.Kind.MAINTENANCE_ON
-                                                : LogRecord.Kind.MAINTENANCE_OFF,
-                                        node.value()));
+                        discoveryWatch,
+                        components.eventQueue(),
+                        nowTicks);
+        discoveryWatch.setHistory(endpointListHistory);
+        discoveryWatch.setVersionFloor(stateKeeper.restored().endpointList().version());
+        coordinator.setRecovery(recoveryLink);
+        maintenanceMarks.setStore(this::saveMaintenance);
     }
 
-    RecoveryLink recoveryLink() {
-        return recoveryLink;
+    private CompletableFuture<Boolean> saveMaintenance(NodeId node, boolean inMaintenance) {
+        LogRecord.Kind kind =
+                inMaintenance ? LogRecord.Kind.MAINTENANCE_ON : LogRecord.Kind.MAINTENANCE_OFF;
+        return stateKeeper.store().append(kind, node.value());
     }
 
-    /** What the fleet's member needs to know of plans over zones before it is made. */
-    FleetMember.PlanEpochs planEpochs() {
+    @Override
+    public Optional<RecoveryLink> recoveryLink() {
+        return Optional.of(recoveryLink);
+    }
+
+    @Override
+    public FleetMember.PlanEpochs planEpochs() {
         return new FleetMember.PlanEpochs(
                 stateKeeper.restored().epochFloor(),
                 epoch -> stateKeeper.store().append(LogRecord.Kind.PLAN_EPOCH, epoch));
     }
 
-    /** Holds of staff are in force before the first op, or as soon as a slow disk gives them. */
-    void start(FleetMember member) {
-        fleetMember = member;
+    /**
+     * Nodes in maintenance are so again before the first request, or as soon as a slow disk gives
+     * them.
+     */
+    @Override
+    public void start(FleetMember member) {
         recoveryLink.setMember(member);
         maintenanceMarks.restore(stateKeeper.restored().nodesInMaintenance());
         stateKeeper
                 .store()
                 .whenOpened(late -> maintenanceMarks.restore(late.logged().nodesInMaintenance()));
-        stateKeeper.store().snapshotFrom(this::state);
+        stateKeeper.store().snapshotFrom(() -> snapshot(member));
     }
 
     /**
-     * Nothing until the return is over: guards against what is half known yet in place of what was
-     * known before, where the power is lost a second time.
+     * Empty until the recovery is over: guards against state that is half known yet in place of
+     * what was known before, if the power is lost a second time.
      */
-    private Optional<PersistedState> state() {
+    private Optional<PersistedState> snapshot(FleetMember member) {
         if (!recoveryLink.isOver()) {
             return Optional.empty();
         }
@@ -91,7 +92,7 @@
                 new PersistedState.LoggedState(
                         0,
                         stateKeeper.generation(),
-                        fleetMember.planEpoch(),
+                        member.planEpoch(),
                         maintenanceMarks.nodesInMaintenance());
         PersistedState.Content content =
                 new PersistedState.Content(
@@ -99,14 +100,25 @@
                         System.currentTimeMillis(),
                         new PersistedState.EndpointList(
                                 endpointListHistory.version(), endpointListHistory.endpointList()),
-                        StateKeeper.persistedPeers(fleetMember.view()),
-                        fleetMember.encodedPlan(),
+                        StateKeeper.persistedPeers(member.view()),
+                        member.encodedPlan(),
                         StateKeeper.persistedTrust(coordinator.warmStartState()));
         return Optional.of(
                 new PersistedState(stateKeeper.settings().store().cluster(), logged, content));
     }
 
-    void stop() throws InterruptedException {
+    @Override
+    public Map<String, Long> metrics() {
+        return recoveryLink.metrics();
+    }
+
+    @Override
+    public Optional<String> recoveryStatus() {
+        return Optional.of(recoveryLink.statusText());
+    }
+
+    @Override
+    public void stop() throws InterruptedException {
         stateKeeper.store().stop();
     }
 }
--- a/src/test/java/cairnbridge/proxy/OperatorsTest.java
+++ b/src/test/java/cairnbridge/proxy/OperatorsTest.java
@@ -376,10 +376,10 @@
         assertEquals(port, portFromLog(youngLog));
         sendSignal(old, "TERM");
         awaitLogLine(oldLog, "drains");
-        awaitLogLine(oldLog, "is replaced by a younger process");
+        awaitLogLine(oldLog, "hands over to its successor");
         send(kept, "GET /view/1", ttlHeader(800).replace("9b1f", "2"), "");
         assertTrue(readMessage(kept).contains("Connection: close"));
-        awaitLogLine(oldLog, "ends, 0 ops under way, broken: {}");
+        awaitLogLine(oldLog, "stopped, 0 requests in flight, invariant violations: {}");
         old.waitFor();
         int before = served.get();
         waitUntil(() -> served.get() > before + 20);
--- a/src/test/java/cairnbridge/proxy/ProxyTest.java
+++ b/src/test/java/cairnbridge/proxy/ProxyTest.java
@@ -428,7 +428,7 @@
         assertTrue(millis < 470, "answered after " + millis);
         sendSignal(process, "TERM");
         awaitLogLine(log, "drains");
-        awaitLogLine(log, "ends, 0 ops under way, broken: {}");
+        awaitLogLine(log, "stopped, 0 requests in flight, invariant violations: {}");
         process.waitFor();
     }
 
