--- a/src/main/java/cairnbridge/proxy/Warmup.java
+++ b/src/main/java/cairnbridge/proxy/Warmup.java
@@ -23,90 +23,113 @@
 import org.apache.hc.core5.http.message.BasicHttpRequest;
 
 /**
- * Runs the whole path of an op some hundred times before the proxy says that it is ready, so that
- * the first clients do not pay for cold code. It has an owner and a module of its own: client and
- * cache are this proxy itself, over its own listener, told from real requests by a name that no
- * client can know.
+ * Runs the whole path of a request some hundred times before the proxy is ready, so that the first
+ * clients do not pay for code that is not compiled yet. It has a coordinator of its own on a thread
+ * of its own: client and cache are this proxy itself, over a listener of its own. Its requests are
+ * recognised by a prefix of the trace id that no client can know.
+ *
+ * <p>The thread of the start runs it; the reactor's thread answers its requests and sends the next.
  */
 final class Warmup {
-    /**
-     * The more proxies there are, the fewer ops one has to expect at once; others wait for the
-     * start.
-     */
     private static final int MAX_REQUESTS = 1000;
 
+    /**
+     * The more proxies there are, the fewer requests one has to expect at once, and the more wait
+     * for its start.
+     */
     private static final int REQUESTS_OF_ALL_PROXIES = 1500;
+
     private static final int MIN_REQUESTS = 100;
     private static final int CLIENTS = 4;
-
+    private static final int EVENTS_PER_REQUEST = 8;
     private static final long MAX_MILLIS = 2000;
     private static final byte[] VALUE = new byte[64];
+    private static final NodeId CACHE = new NodeId(1);
+    private static final NodeId ORIGIN = new NodeId(2);
+
+    /** Misses and writes take other paths: each is one kind of these, a quarter of the requests. */
+    private static final int REQUEST_KINDS = 4;
+
+    private static final int MISS_KIND = 1;
+    private static final int WRITE_KIND = 2;
 
     private final ConnectionReactor reactor;
     private final ListenerState listenerState;
     private final ProxyConfig config;
-    private final EventQueue eventQueue = new EventQueue(8 * MAX_REQUESTS);
+    private final EventQueue eventQueue = new EventQueue(EVENTS_PER_REQUEST * MAX_REQUESTS);
+
+    /** How often a request was seen, by its trace id. */
     private final Map<String, Integer> sightings = new ConcurrentHashMap<>();
+
     private final AtomicInteger remainingRequests;
     private final CountDownLatch clientsFinished = new CountDownLatch(CLIENTS);
     private volatile boolean finished;
     private final String traceIdPrefix = "warm-" + Long.toHexString(System.nanoTime()) + "-";
 
-    /** hurried: nobody serves meanwhile at the place where this proxy is to. */
-    Warmup(ProxyConfig config, ConnectionReactor sockets, ListenerState listen, boolean hurried) {
-        int ops = REQUESTS_OF_ALL_PROXIES / config.settings().proxies();
-        remainingRequests =
-                new AtomicInteger(
-                        hurried
-                                ? Math.max(MIN_REQUESTS, Math.min(MAX_REQUESTS, ops))
-                                : MAX_REQUESTS);
+    /**
+     * Sends nothing yet.
+     *
+     * @param hurried whether no other process serves meanwhile at the address of this proxy
+     */
+    Warmup(
+            ProxyConfig config,
+            ConnectionReactor reactor,
+            ListenerState listenerState,
+            boolean hurried) {
         this.config = config;
-        this.reactor = sockets;
-        this.listenerState = listen;
+        this.reactor = reactor;
+        this.listenerState = listenerState;
+        int shareOfRequests = REQUESTS_OF_ALL_PROXIES / config.settings().proxies();
+        int hurriedRequests = Math.max(MIN_REQUESTS, Math.min(MAX_REQUESTS, shareOfRequests));
+        remainingRequests = new AtomicInteger(hurried ? hurriedRequests : MAX_REQUESTS);
     }
 
+    /** Returns when all requests are answered, or when time is up. */
     void run() throws IOException, InterruptedException {
-        RequestCoordinator decide =
-                new RequestCoordinator(
-                        config,
-                        eventQueue,
-                        listenerState.clock,
-                        reactor,
-                        null,
-                        WarmStartState.EMPTY,
-                        new ProxyMetrics(config.names().categories()));
-        Thread owner = new Thread(decide, "warm");
+        RequestCoordinator coordinator = createCoordinator();
+        Thread owner = new Thread(coordinator, "warm");
         owner.start();
-        MachineKind origin = config.settings().originKind();
-        // Guards against a rehearsal that reaches another process, which listens at the clients'
+        // Guards against a warm-up that reaches another process, which listens at the clients'
         // address too.
-        Acceptor accept =
+        Acceptor acceptor =
                 reactor.createAcceptor(
                         new InetSocketAddress(config.network().listen().getAddress(), 0));
-        Thread accepting = new Thread(accept, "warm-accept");
-        accepting.setDaemon(true);
-        accepting.start();
-        InetSocketAddress here = accept.address();
-        NodeId cache = new NodeId(1);
-        NodeId store = new NodeId(2);
-        postEndpointList(
-                List.of(
-                        createEntry(cache, new MachineKind(origin.value() + 1)),
-                        createEntry(store, origin)),
-                Map.of(cache, here, store, here));
+        Thread acceptorThread = new Thread(acceptor, "warm-accept");
+        acceptorThread.setDaemon(true);
+        acceptorThread.start();
+        InetSocketAddress proxyAddress = acceptor.address();
+        postEndpointList(listedNodes(), Map.of(CACHE, proxyAddress, ORIGIN, proxyAddress));
         listenerState.warmup = this;
         for (int i = 0; i < CLIENTS; i++) {
-            new WarmupClient(here).sendNext();
+            new WarmupClient(proxyAddress).sendNext();
         }
-        clientsFinished.await(MAX_MILLIS, TimeUnit.MILLISECONDS);
+        // Whether all are answered or time is up, the proxy starts.
+        boolean unused = clientsFinished.await(MAX_MILLIS, TimeUnit.MILLISECONDS);
         remainingRequests.set(0);
         finished = true;
-        accept.stop();
+        acceptor.stop();
         postEndpointList(List.of(), Map.of());
-        decide.stopWhenDrained();
+        coordinator.stopWhenDrained();
         owner.join();
     }
 
+    private RequestCoordinator createCoordinator() {
+        return new RequestCoordinator(
+                config,
+                eventQueue,
+                listenerState.clock,
+                reactor,
+                null,
+                WarmStartState.EMPTY,
+                new ProxyMetrics(config.names().categories()));
+    }
+
+    private List<Endpoint> listedNodes() {
+        MachineKind originKind = config.settings().originKind();
+        MachineKind cacheKind = new MachineKind(originKind.value() + 1);
+        return List.of(createEntry(CACHE, cacheKind), createEntry(ORIGIN, originKind));
+    }
+
     private static Endpoint createEntry(NodeId node, MachineKind kind) {
         return new Endpoint(node, NodeState.READY, kind, 1, 0, new CellId(0), new ZoneId(0));
     }
@@ -118,55 +141,56 @@
                         new Event.EndpointListReceived(ListScope.FULL, 1, entries), addresses));
     }
 
-    boolean isWarmupRequest(String trace) {
-        return trace.startsWith(traceIdPrefix);
+    /** Whether a request with this trace id is one of the warm-up. */
+    boolean isWarmupRequest(String traceId) {
+        return traceId.startsWith(traceIdPrefix);
     }
 
     /**
-     * The first time an op comes from the client, then from its pushes: every fourth is missed
-     * once.
+     * Answers a request of the warm-up. The first time it comes from the client, and goes to the
+     * coordinator; then it comes from the attempts, the first of which is a miss for a quarter of
+     * the requests.
      */
-    void answerWarmup(ClientExchange exchange, long expires) {
+    void answerWarmup(ClientExchange exchange, long deadlineTicks) {
         // Guards against a late one being taken for a client's: no cache may ever see it.
-        int sight = finished ? 0 : sightings.merge(exchange.traceId, 1, Integer::sum);
-        if (sight == 0) {
+        int sighting = finished ? 0 : sightings.merge(exchange.traceId, 1, Integer::sum);
+        if (sighting == 0) {
             exchange.rejectRetryable(1);
-        } else if (sight == 2 && !exchange.write && requestKind(exchange.traceId) == 1) {
+        } else if (sighting == 2 && !exchange.write && requestKind(exchange.traceId) == MISS_KIND) {
             exchange.answerNotFound();
-        } else if (sight == 1) {
-            eventQueue.post(new ProxyEvent.RequestArrived(exchange, expires));
+        } else if (sighting == 1) {
+            eventQueue.requestArrived(exchange, deadlineTicks);
         } else {
             exchange.answerSuccess(VALUE);
         }
     }
 
-    /** Misses and writes run other ways through the module: a quarter of the ops each. */
-    private static int requestKind(String trace) {
-        return trace.charAt(trace.length() - 1) % 4;
+    private static int requestKind(String traceId) {
+        return traceId.charAt(traceId.length() - 1) % REQUEST_KINDS;
     }
 
-    /** One client, with one op at a time. */
+    /** One client, with one request at a time; used by one thread at a time. */
     private final class WarmupClient {
         private final InetSocketAddress proxyAddress;
         private WarmupRequest latestRequest;
 
-        WarmupClient(InetSocketAddress here) {
-            this.proxyAddress = here;
+        WarmupClient(InetSocketAddress proxyAddress) {
+            this.proxyAddress = proxyAddress;
         }
 
         void sendNext() {
             int number = remainingRequests.getAndDecrement();
-            WarmupRequest ask = number > 0 ? new WarmupRequest(number) : null;
-            UpstreamConnection kept = latestRequest == null ? null : latestRequest.connection;
-            if (ask == null) {
+            if (number <= 0) {
                 finish();
                 return;
             }
-            latestRequest = ask;
-            if (kept != null && kept.isOpen()) {
-                kept.send(ask);
+            WarmupRequest request = new WarmupRequest(number);
+            UpstreamConnection open = latestRequest == null ? null : latestRequest.connection;
+            latestRequest = request;
+            if (open != null && open.isOpen()) {
+                open.send(request);
             } else {
-                reactor.connect(proxyAddress, config.network().connectTimeout(), ask);
+                reactor.connect(proxyAddress, config.network().connectTimeout(), request);
             }
         }
 
@@ -188,7 +212,7 @@
                                 + "/"
                                 + Integer.toHexString(number));
                 traceId = traceIdPrefix + number;
-                if (requestKind(traceId) == 2) {
+                if (requestKind(traceId) == WRITE_KIND) {
                     setPutBody(VALUE);
                 }
             }
@@ -201,17 +225,17 @@
 
             @Override
             void onStatus(int code) {
-                // Whatever the answer, its path has been run.
+                // Whatever the answer, its path was run.
             }
 
             @Override
             void onLine(String text) {
-                // The value says nothing.
+                // The value does not matter.
             }
 
             @Override
-            void onEnd(AttemptOutcome how) {
-                if (how == AttemptOutcome.SUCCESS) {
+            void onEnd(AttemptOutcome outcome) {
+                if (outcome == AttemptOutcome.SUCCESS) {
                     sendNext();
                 } else {
                     finish();
