--- a/src/main/java/cairnbridge/cli/Main.java
+++ b/src/main/java/cairnbridge/cli/Main.java
@@ -7,6 +7,7 @@
 import cairnbridge.config.ProxyConfig;
 import cairnbridge.decision.WarmStartState;
 import cairnbridge.drill.scenario.ScenarioFault;
+import cairnbridge.proxy.ClassDataArchive;
 import cairnbridge.proxy.ProxyServer;
 import cairnbridge.recovery.StateKeeper;
 import java.io.IOException;
@@ -134,6 +135,7 @@
 
         @Override
         public Integer call() throws InterruptedException {
+            ClassDataArchive.logIfUnused();
             ProxyConfig config = ProxyConfig.read(System.getenv());
             FleetConfig member = fleet == null ? null : FleetConfig.read(fleet, config.name());
             Optional<StateKeeper> keeper = member == null ? Optional.empty() : keeper(member);
@@ -188,6 +190,7 @@
     static final class RehearseCommand implements Callable<Integer> {
         @Override
         public Integer call() throws IOException, InterruptedException {
+            ClassDataArchive.logIfUnused(); // As serve does, so that its classes are recorded.
             ProxyServer serve = new ProxyServer(ProxyConfig.rehearsal(), Main::end);
             serve.start();
             serve.stop();
