--- a/src/main/java/cairnbridge/proxy/Acceptor.java
+++ b/src/main/java/cairnbridge/proxy/Acceptor.java
@@ -7,6 +7,7 @@
 import java.nio.channels.ServerSocketChannel;
 import java.nio.channels.SocketChannel;
 import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
@@ -14,14 +15,14 @@
 import java.util.logging.Logger;
 
 /**
- * Takes connections off the system's queue, on a thread of its own. Another process may listen at
- * the same address: whoever stops first empties its queue, as what is left in the queue of a closed
+ * Accepts connections on a thread of its own. Another process may listen on the same address: the
+ * one that stops first accepts all that wait in its queue, as what is left in the queue of a closed
  * socket is reset.
  */
-final class Acceptor implements Runnable {
+public final class Acceptor implements Runnable {
     private static final Logger LOG = Logger.getLogger(Acceptor.class.getName());
-    private static final int BACKPRESSURE_PAUSE_NANOS = 200_000;
-    private static final int ERROR_PAUSE_NANOS = 5_000_000;
+    private static final long BACKPRESSURE_PAUSE_NANOS = TimeUnit.MICROSECONDS.toNanos(200);
+    private static final long ERROR_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
 
     private final ServerSocketChannel serverChannel;
     private final Selector selector;
@@ -30,25 +31,37 @@
     private final CountDownLatch closed = new CountDownLatch(1);
     private volatile boolean stopped;
 
-    /** mayTake holds it back while the taker is behind. */
+    /**
+     * Opens the listener; connections are accepted once {@link #run} is called.
+     *
+     * @param backlog the most connections that wait in the system's queue
+     * @param canAccept asked before each connection; while false, none is accepted unless the
+     *     acceptor has been stopped
+     * @param channelHandler given each connection, on the acceptor's thread
+     * @throws IOException if the address cannot be listened on
+     */
     Acceptor(
             InetSocketAddress address,
             int backlog,
-            BooleanSupplier mayTake,
-            Consumer<SocketChannel> taker)
+            BooleanSupplier canAccept,
+            Consumer<SocketChannel> channelHandler)
             throws IOException {
-        this.canAccept = mayTake;
-        this.channelHandler = taker;
+        this.canAccept = canAccept;
+        this.channelHandler = channelHandler;
         selector = Selector.open();
         serverChannel = ListeningSocket.open(address, backlog, true, selector);
     }
 
-    InetSocketAddress address() throws IOException {
+    /** The address it listens on. */
+    public InetSocketAddress address() throws IOException {
         return (InetSocketAddress) serverChannel.getLocalAddress();
     }
 
-    /** Empties the queue and closes; returns once that is done. */
-    void stop() throws InterruptedException {
+    /**
+     * Accepts what waits in the system's queue and closes the listener; returns once that is done.
+     * Called on another thread than {@link #run}.
+     */
+    public void stop() throws InterruptedException {
         if (!stopped) {
             stopped = true;
             selector.wakeup();
@@ -65,14 +78,7 @@
                 selector.selectedKeys().clear();
                 acceptAll();
             }
-            // Guards against a client reset in the queue: what a selector knows stays open until
-            // that looks
-            // again, and takes clients; so it is let go first, and closed right behind the last
-            // accept.
-            serverChannel.keyFor(selector).cancel();
-            selector.selectNow();
-            acceptAll();
-            serverChannel.close();
+            acceptLast();
         } catch (IOException e) {
             LOG.log(Level.SEVERE, "accepting has ended", e);
         } finally {
@@ -80,12 +86,25 @@
         }
     }
 
+    /**
+     * Guards against a client reset in the queue: what a selector knows stays open until that
+     * selects again, and takes clients; so its key is cancelled first, and the listener is closed
+     * right behind the last accept.
+     */
+    private void acceptLast() throws IOException {
+        serverChannel.keyFor(selector).cancel();
+        selector.selectNow();
+        acceptAll();
+        serverChannel.close();
+    }
+
     private void acceptAll() {
-        for (SocketChannel next = acceptNext(); next != null; next = acceptNext()) {
-            channelHandler.accept(next);
+        for (SocketChannel channel = acceptNext(); channel != null; channel = acceptNext()) {
+            channelHandler.accept(channel);
         }
     }
 
+    /** Null if there is no connection to accept. */
     private SocketChannel acceptNext() {
         while (!stopped && !canAccept.getAsBoolean()) {
             LockSupport.parkNanos(BACKPRESSURE_PAUSE_NANOS);
--- /dev/null
+++ b/src/main/java/cairnbridge/proxy/HttpSettings.java
@@ -0,0 +1,41 @@
+package cairnbridge.proxy;
+
+import org.apache.hc.core5.http.config.Http1Config;
+import org.apache.hc.core5.http.protocol.DefaultHttpProcessor;
+import org.apache.hc.core5.http.protocol.HttpProcessor;
+import org.apache.hc.core5.http.protocol.RequestContent;
+import org.apache.hc.core5.http.protocol.ResponseConnControl;
+import org.apache.hc.core5.http.protocol.ResponseContent;
+
+/**
+ * The HTTP/1.1 settings of all connections, to clients and to servers. They are immutable and used
+ * on any thread.
+ */
+public final class HttpSettings {
+    private static final int BUFFER_BYTES = 4096;
+
+    /** A longer line is part of no request and no response of this protocol. */
+    private static final int MAX_HEAD_LINE_BYTES = 4096;
+
+    /** A head with more headers is none of a request or a response of this protocol. */
+    private static final int MAX_HEADERS = 40;
+
+    /** Buffer sizes and the limits of a head. */
+    public static final Http1Config CONFIG =
+            Http1Config.custom()
+                    .setBufferSize(BUFFER_BYTES)
+                    .setChunkSizeHint(BUFFER_BYTES)
+                    .setMaxLineLength(MAX_HEAD_LINE_BYTES)
+                    .setMaxHeaderCount(MAX_HEADERS)
+                    .build();
+
+    /** Adds the headers that requests to servers need. */
+    public static final HttpProcessor REQUEST_PROCESSOR =
+            new DefaultHttpProcessor(RequestContent.INSTANCE);
+
+    /** Adds the headers that responses to clients need. */
+    public static final HttpProcessor RESPONSE_PROCESSOR =
+            new DefaultHttpProcessor(ResponseContent.INSTANCE, ResponseConnControl.INSTANCE);
+
+    private HttpSettings() {}
+}
--- /dev/null
+++ b/src/main/java/cairnbridge/proxy/UpstreamAttachment.java
@@ -0,0 +1,34 @@
+package cairnbridge.proxy;
+
+import org.apache.hc.core5.reactor.IOEventHandler;
+import org.apache.hc.core5.reactor.IOSession;
+import org.apache.hc.core5.reactor.ProtocolIOSession;
+
+/** Gives the reactor's events of a connection to a server to that connection. */
+final class UpstreamAttachment implements ConnectionAttachment {
+    private final UpstreamConnection connection;
+
+    UpstreamAttachment(UpstreamConnection connection) {
+        this.connection = connection;
+    }
+
+    @Override
+    public IOEventHandler createHandler(ProtocolIOSession session) {
+        return new UpstreamIoHandler(session, connection);
+    }
+
+    @Override
+    public void completed(IOSession session) {
+        connection.completed(session);
+    }
+
+    @Override
+    public void failed(Exception cause) {
+        connection.failed(cause);
+    }
+
+    @Override
+    public void cancelled() {
+        connection.cancelled();
+    }
+}
