--- /dev/null
+++ b/src/main/java/cairnbridge/proxy/AttemptEventHandler.java
@@ -0,0 +1,163 @@
+package cairnbridge.proxy;
+
+import cairnbridge.decision.Event;
+import cairnbridge.decision.Event.AttemptOutcome;
+import cairnbridge.proxy.ProxyEvent.AttemptCompleted;
+import cairnbridge.proxy.ProxyEvent.AttemptEvent;
+import cairnbridge.proxy.ProxyEvent.PooledConnectionFailed;
+import cairnbridge.proxy.ProxyEvent.RequestBodyClaimed;
+import cairnbridge.proxy.ProxyEvent.ResponseStreamStarted;
+
+/** Handles the events of attempts. For the owner thread. */
+final class AttemptEventHandler {
+    private final UpstreamPool upstreamPool;
+    private final ActiveRequests activeRequests;
+    private final AttemptSender attemptSender;
+    private final RequestCompletion completion;
+    private final CoordinatorListeners listeners;
+    private final Invariants invariants;
+    private final RouterNotifier router;
+    private final TickClock clock;
+
+    AttemptEventHandler(
+            CoordinatorContext context,
+            UpstreamPool upstreamPool,
+            AttemptSender attemptSender,
+            RequestCompletion completion) {
+        this.upstreamPool = upstreamPool;
+        this.activeRequests = context.activeRequests();
+        this.attemptSender = attemptSender;
+        this.completion = completion;
+        this.listeners = context.listeners();
+        this.invariants = context.invariants();
+        this.router = context.router();
+        this.clock = context.clock();
+    }
+
+    /** Handles one event. */
+    void handle(AttemptEvent event) {
+        if (event instanceof AttemptCompleted completed) {
+            handleAttemptCompleted(completed);
+        } else if (event instanceof PooledConnectionFailed failed) {
+            attemptSender.retryOnAnotherConnection(failed.attempt());
+        } else if (event instanceof ResponseStreamStarted started) {
+            handleResponseStreamStarted(started.attempt(), started.responsePipe());
+        } else if (event instanceof RequestBodyClaimed claimed) {
+            handleRequestBodyClaimed(claimed.attempt());
+        }
+    }
+
+    private void handleAttemptCompleted(AttemptCompleted event) {
+        UpstreamAttempt attempt = event.attempt();
+        ClientExchange exchange = attempt.exchange;
+        ActiveRequest request = activeRequests.find(exchange.requestId);
+        upstreamPool.release(attempt, isResponseComplete(event.outcome()), clock.now());
+        if (!invariants.check(
+                request != null && request.hasOpenAttempts(),
+                "a push ends once, while its op is kept")) {
+            return;
+        }
+        request.attemptEnded();
+        // Guards against another attempt for a client that has disconnected, whose event has not
+        // been handled yet.
+        if (exchange.hasClientDisconnected()) {
+            completion.dropDisconnected(exchange);
+        }
+        notifyListeners(request, event);
+        if (isAnswer(request, event)) {
+            if (!request.isStreaming()) {
+                exchange.answerSuccess(event.body());
+            }
+            completion.markAnswered(request);
+        }
+        notifyAttemptEnded(request, event);
+        activeRequests.removeIfComplete(request);
+    }
+
+    /** Whether the response was read to its end, so that its connection can be reused. */
+    private static boolean isResponseComplete(AttemptOutcome outcome) {
+        return outcome == AttemptOutcome.SUCCESS
+                || outcome == AttemptOutcome.CACHE_MISS
+                || outcome == AttemptOutcome.OVERLOADED
+                || outcome == AttemptOutcome.ERROR;
+    }
+
+    private static boolean isAnswer(ActiveRequest request, AttemptCompleted event) {
+        return event.outcome() == AttemptOutcome.SUCCESS
+                && !request.isAnswered()
+                && (!request.isStreaming() || request.isStreamedFrom(event.attempt()));
+    }
+
+    private void notifyListeners(ActiveRequest request, AttemptCompleted event) {
+        UpstreamAttempt attempt = event.attempt();
+        long durationTicks = attempt.durationTicks(event.endedAtTicks());
+        long now = clock.now();
+        listeners
+                .load()
+                .attemptEnded(
+                        attempt.node,
+                        attempt.exchange.category.value(),
+                        event.outcome(),
+                        durationTicks,
+                        request.deadlineTicks() - now,
+                        now);
+        listeners.recovery().attemptEnded(attempt, event.outcome(), durationTicks, clock.now());
+    }
+
+    private void notifyAttemptEnded(ActiveRequest request, AttemptCompleted event) {
+        UpstreamAttempt attempt = event.attempt();
+        router.notifyRouter(
+                clock.now(),
+                new Event.AttemptEnded(
+                        request.id(),
+                        attempt.attemptNumber,
+                        attempt.node,
+                        event.outcome(),
+                        event.storeNote(),
+                        attempt.durationTicks(event.endedAtTicks()),
+                        request.isAnswered(),
+                        null));
+    }
+
+    private void handleResponseStreamStarted(UpstreamAttempt attempt, BodyPipe responsePipe) {
+        ClientExchange exchange = attempt.exchange;
+        ActiveRequest request = activeRequests.find(exchange.requestId);
+        // Guards against a response that begins just as its attempt is abandoned, and would break
+        // off at once.
+        if (request == null
+                || request.isAnswered()
+                || request.isStreaming()
+                || attempt.isAbandoned()) {
+            responsePipe.discard();
+            attemptSender.abandonAttempt(attempt, AttemptOutcome.CANCELLED);
+            return;
+        }
+        request.streamFrom(attempt);
+        exchange.streamAnswer(responsePipe);
+        // Guards against a response that goes on at the node, and occupies its connection, for
+        // nobody.
+        if (exchange.hasClientDisconnected()) {
+            completion.dropDisconnected(exchange);
+            return;
+        }
+        notifyStreamingStarted(attempt);
+        attemptSender.cancelOtherAttempts(request, attempt);
+    }
+
+    private void handleRequestBodyClaimed(UpstreamAttempt attempt) {
+        if (activeRequests.find(attempt.exchange.requestId) != null) {
+            notifyStreamingStarted(attempt);
+        }
+    }
+
+    private void notifyStreamingStarted(UpstreamAttempt attempt) {
+        long now = clock.now();
+        router.notifyRouter(
+                now,
+                new Event.StreamingStarted(
+                        attempt.exchange.requestId,
+                        attempt.attemptNumber,
+                        attempt.node,
+                        attempt.durationTicks(now)));
+    }
+}
--- /dev/null
+++ b/src/main/java/cairnbridge/proxy/ClientEventHandler.java
@@ -0,0 +1,85 @@
+package cairnbridge.proxy;
+
+import cairnbridge.decision.Event;
+import cairnbridge.decision.Ids.TenantId;
+import cairnbridge.proxy.ProxyEvent.ClientDisconnected;
+import cairnbridge.proxy.ProxyEvent.ClientEvent;
+import cairnbridge.proxy.ProxyEvent.RequestArrived;
+import cairnbridge.proxy.ProxyEvent.RequestBodyCompleted;
+
+/** Handles the events of clients and their requests. For the owner thread. */
+final class ClientEventHandler {
+    /**
+     * Guards against the quota of one tenant applied to the requests of all: HTTP requests do not
+     * name their tenant.
+     */
+    private static final TenantId NO_TENANT = new TenantId(-1);
+
+    private final ActiveRequests activeRequests;
+    private final TimerQueue timers;
+    private final StallDetector stallDetector;
+    private final RequestCompletion completion;
+    private final RequestDeadlines deadlines;
+    private final CoordinatorListeners listeners;
+    private final RouterNotifier router;
+    private final TickClock clock;
+
+    ClientEventHandler(
+            CoordinatorContext context,
+            StallDetector stallDetector,
+            RequestCompletion completion,
+            RequestDeadlines deadlines) {
+        this.activeRequests = context.activeRequests();
+        this.timers = context.timers();
+        this.stallDetector = stallDetector;
+        this.completion = completion;
+        this.deadlines = deadlines;
+        this.listeners = context.listeners();
+        this.router = context.router();
+        this.clock = context.clock();
+    }
+
+    /** Handles one event. */
+    void handle(ClientEvent event) {
+        if (event instanceof RequestArrived arrived) {
+            handleRequestArrived(arrived.exchange(), arrived.deadlineTicks());
+        } else if (event instanceof ClientDisconnected disconnected) {
+            completion.dropDisconnected(disconnected.exchange());
+        } else if (event instanceof RequestBodyCompleted completed) {
+            deadlines.requestBodyCompleted(completed.exchange(), completed.deadlineTicks());
+        }
+    }
+
+    private void handleRequestArrived(ClientExchange exchange, long announcedDeadlineTicks) {
+        exchange.requestId = activeRequests.nextId();
+        if (exchange.isFinished()) {
+            return;
+        }
+        // Guards against another client that uses the trace id of a request that is not answered
+        // yet.
+        if (!activeRequests.claimTraceId(exchange.traceId)) {
+            exchange.rejectConflict();
+            return;
+        }
+        long deadlineTicks = announcedDeadlineTicks - stallDetector.stallTicks();
+        ActiveRequest request = activeRequests.add(exchange, deadlineTicks);
+        timers.scheduleRequestDeadline(deadlineTicks, request.id());
+        listeners.load().requestAccepted(exchange.category.value());
+        if (!listeners.recovery().admit(exchange, deadlineTicks, clock.now())) {
+            completion.markAnswered(request);
+            return;
+        }
+        router.notifyRouter(
+                clock.now(),
+                new Event.RequestArrived(
+                        request.id(),
+                        exchange.category,
+                        NO_TENANT,
+                        exchange.key,
+                        deadlineTicks,
+                        0,
+                        -1,
+                        exchange.clientRetry,
+                        exchange.write));
+    }
+}
--- a/src/main/java/cairnbridge/proxy/EventQueue.java
+++ b/src/main/java/cairnbridge/proxy/EventQueue.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The bounded queue of events before the owner thread. A full one holds the posting thread back:
- * nothing is dropped.
+ * The bounded queue of events before the owner thread. Any thread may post: it waits while the
+ * queue is full, and nothing is dropped. The owner thread alone polls.
  */
 final class EventQueue
         implements ClientEvents,
@@ -25,15 +25,17 @@
     private final BlockingQueue<ProxyEvent> events;
     private final Queue<ProxyEvent> urgentEvents = new ConcurrentLinkedQueue<>();
 
-    EventQueue(int most) {
-        events = new ArrayBlockingQueue<>(most);
+    /** A queue for so many events; urgent ones do not count. */
+    EventQueue(int capacity) {
+        events = new ArrayBlockingQueue<>(capacity);
     }
 
-    void post(ProxyEvent notice) {
+    /** Adds an event, and waits while the queue is full; an interrupt does not end the wait. */
+    void post(ProxyEvent event) {
         boolean interrupted = false;
         while (true) {
             try {
-                events.put(notice);
+                events.put(event);
                 break;
             } catch (InterruptedException e) {
                 interrupted = true;
@@ -44,21 +46,27 @@
         }
     }
 
-    /** Goes before all that waits; for the few notices on which staff wait. */
-    void postUrgent(ProxyEvent notice) {
-        urgentEvents.add(notice);
-        // Who sleeps on the queue is woken; a full queue wakes by itself.
+    /** Adds an event that overtakes all that are not urgent; does not wait. */
+    void postUrgent(ProxyEvent event) {
+        urgentEvents.add(event);
+        wakeOwner();
+    }
+
+    private void wakeOwner() {
+        // If the queue is full, the owner thread is not asleep.
         events.offer(new ProxyEvent.QueueWakeup());
     }
 
+    /** The next event; null if there is none. */
     ProxyEvent poll() {
-        ProxyEvent first = urgentEvents.poll();
-        return first != null ? first : events.poll();
+        ProxyEvent urgent = urgentEvents.poll();
+        return urgent != null ? urgent : events.poll();
     }
 
-    ProxyEvent poll(long nanos) throws InterruptedException {
-        ProxyEvent first = urgentEvents.poll();
-        return first != null ? first : events.poll(nanos, TimeUnit.NANOSECONDS);
+    /** The next event, waited for at most so long; null if there is none. */
+    ProxyEvent poll(long maxWaitNanos) throws InterruptedException {
+        ProxyEvent urgent = urgentEvents.poll();
+        return urgent != null ? urgent : events.poll(maxWaitNanos, TimeUnit.NANOSECONDS);
     }
 
     @Override
--- a/src/main/java/cairnbridge/proxy/FleetLink.java
+++ b/src/main/java/cairnbridge/proxy/FleetLink.java
@@ -14,10 +14,15 @@
 import cairnbridge.zones.routing.ZoneRouter;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 
-/** Between the proxy and its fleet: what this proxy tells, and what it is asked to do. */
+/**
+ * Connects the proxy to its fleet: announces what the proxy does, and passes on what the fleet asks
+ * of it. The methods of {@link LocalProxy} are called on the fleet's thread; events reach the owner
+ * thread through its queue.
+ */
 final class FleetLink implements LocalProxy {
-    /** From this part of its descriptors on a proxy closes its clients' connections. */
+    /** A proxy closes connections of clients once they take up this part of its descriptors. */
     private static final int CLIENT_SHARE_DIVISOR = 3;
 
     private final ZoneRouter.Counts placementCounts = new ZoneRouter.Counts();
@@ -28,32 +33,41 @@
     private final FleetLoadCounters loadCounters;
     private final DiscoveryWatch discoveryWatch;
     private final EventQueue eventQueue;
+    private final RecoveryStatus recovery;
 
-    /** Null where nothing is kept over a loss of power. */
-    private final RecoveryLink recoveryLink;
+    /** Empty while the member itself is constructed, which asks for the first announcement. */
+    private volatile Optional<FleetMember> fleetMember = Optional.empty();
 
-    private volatile FleetMember fleetMember;
-
-    /** Whether plans over zones are on. */
+    /** Whether plans over zones are in use. */
     private volatile boolean zonePlansEnabled;
 
+    /**
+     * A link to a fleet that has no member yet.
+     *
+     * @param recovery null where nothing is kept over a loss of power
+     */
     FleetLink(
             ProxyConfig config,
             TickClock clock,
-            ListenerState listen,
-            RequestCoordinator decide,
-            FleetLoadCounters tally,
-            DiscoveryWatch watch,
-            EventQueue inbox,
-            RecoveryLink recovery) {
-        this.clock = clock;
-        this.loadCounters = tally;
-        this.recoveryLink = recovery;
+            ListenerState listenerState,
+            RequestCoordinator coordinator,
+            FleetLoadCounters loadCounters,
+            DiscoveryWatch discoveryWatch,
+            EventQueue eventQueue,
+            RecoveryStatus recovery) {
         this.config = config;
-        this.listenerState = listen;
-        this.coordinator = decide;
-        this.discoveryWatch = watch;
-        this.eventQueue = inbox;
+        this.clock = clock;
+        this.listenerState = listenerState;
+        this.coordinator = coordinator;
+        this.loadCounters = loadCounters;
+        this.discoveryWatch = discoveryWatch;
+        this.eventQueue = eventQueue;
+        this.recovery = recovery == null ? RecoveryStatus.NONE : recovery;
+    }
+
+    /** Sets this proxy's member of the fleet; to be called before the proxy starts. */
+    void setMember(FleetMember member) {
+        fleetMember = Optional.of(member);
     }
 
     @Override
@@ -103,20 +117,12 @@
                         config.settings().categories(),
                         loadCounters.requestsPerSecondByCategory(),
                         placementCounts);
-        eventQueue.postUrgent(new ProxyEvent.RouterEventRaised(new Event.PlacementChanged(router)));
-    }
-
-    /** Before anything starts. */
-    void setMember(FleetMember member) {
-        fleetMember = member;
+        postRouterEvent(new Event.PlacementChanged(router));
     }
 
     @Override
     public RecoveryProgress recoveryProgress() {
-        FleetMember mine = fleetMember;
-        return recoveryLink == null
-                ? RecoveryProgress.NONE
-                : recoveryLink.progress(mine == null ? 0 : mine.planEpoch());
+        return recovery.progress(fleetMember.map(FleetMember::planEpoch).orElse(0L));
     }
 
     @Override
@@ -124,17 +130,15 @@
         if (zonePlansEnabled) {
             loadCounters.nodesToProbe(clock.now()).forEach(node -> probe(node.value()));
         }
-        if (recoveryLink != null) {
-            recoveryLink.fleetChanged(view);
-        }
+        recovery.fleetChanged(view);
     }
 
     @Override
     public byte[] endpointList() {
-        return recoveryLink == null ? new byte[0] : recoveryLink.confirmedEndpointList();
+        return recovery.confirmedEndpointList();
     }
 
-    /** What plans have placed where, since the start. */
+    /** The number of requests since the start by where zone plans placed them; any thread. */
     Map<String, Long> placementMetrics() {
         return Map.of(
                 "zones.near_total",
@@ -147,14 +151,16 @@
 
     @Override
     public void proxyCountChanged(int proxies) {
-        eventQueue.postUrgent(
-                new ProxyEvent.RouterEventRaised(new Event.LiveProxyCountChanged(proxies)));
+        postRouterEvent(new Event.LiveProxyCountChanged(proxies));
     }
 
     @Override
     public void nodeSuspected(long node) {
-        eventQueue.postUrgent(
-                new ProxyEvent.RouterEventRaised(new Event.NodeSuspected(new NodeId(node))));
+        postRouterEvent(new Event.NodeSuspected(new NodeId(node)));
+    }
+
+    private void postRouterEvent(Event event) {
+        eventQueue.postUrgent(new ProxyEvent.RouterEventRaised(event));
     }
 
     @Override
--- a/src/main/java/cairnbridge/proxy/Invariants.java
+++ b/src/main/java/cairnbridge/proxy/Invariants.java
@@ -5,22 +5,24 @@
 import java.util.logging.Logger;
 
 /**
- * What must hold: asserted in debug builds, counted in release builds and said in the log, each
- * once.
+ * Conditions that must hold. A violation is an assertion error where assertions are on; elsewhere
+ * it is counted, and logged the first time. For the owner thread; the counts may be read once it
+ * has ended.
  */
 final class Invariants {
     private static final Logger LOG = Logger.getLogger(Invariants.class.getName());
     private final Map<String, Integer> violations = new TreeMap<>();
 
-    /** Owner thread only. */
-    boolean check(boolean held, String what) {
-        assert held : what;
-        if (!held && violations.merge(what, 1, Integer::sum) == 1) {
-            LOG.severe("does not hold: " + what);
+    /** Records a violation unless the condition holds; returns the condition. */
+    boolean check(boolean holds, String invariant) {
+        assert holds : invariant;
+        if (!holds && violations.merge(invariant, 1, Integer::sum) == 1) {
+            LOG.severe("does not hold: " + invariant);
         }
-        return held;
+        return holds;
     }
 
+    /** The number of violations by invariant. */
     Map<String, Integer> violations() {
         return violations;
     }
--- a/src/main/java/cairnbridge/proxy/ProxyEvent.java
+++ b/src/main/java/cairnbridge/proxy/ProxyEvent.java
@@ -8,76 +8,101 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 
-/** What socket code tells the owner thread, through its queue and no other way. */
+/**
+ * What has happened that concerns the owner thread. Other threads reach it by events in its {@link
+ * EventQueue} and in no other way.
+ */
 sealed interface ProxyEvent {
+    /** An event of a client or of its request. */
+    sealed interface ClientEvent extends ProxyEvent {}
+
+    /** An event of an attempt at a server. */
+    sealed interface AttemptEvent extends ProxyEvent {}
+
+    /** An event of the connections to servers. */
+    sealed interface ConnectionEvent extends ProxyEvent {}
+
+    /** An event of discovery, of health checks, of operators or of the fleet. */
+    sealed interface FleetEvent extends ProxyEvent {}
+
+    /** An event of the owner thread itself. */
+    sealed interface ControlEvent extends ProxyEvent {}
+
     /** A request has arrived. */
-    record RequestArrived(ClientExchange exchange, long deadlineTicks) implements ProxyEvent {}
+    record RequestArrived(ClientExchange exchange, long deadlineTicks) implements ClientEvent {}
 
-    /** A client has gone. */
-    record ClientDisconnected(ClientExchange exchange) implements ProxyEvent {}
+    /** A client has closed its connection. */
+    record ClientDisconnected(ClientExchange exchange) implements ClientEvent {}
 
-    /** body is the answer's bytes where the ending is ACKED; ended is the time of its last byte. */
+    /** A streamed request body has come to its last byte; the request's TTL counts from there. */
+    record RequestBodyCompleted(ClientExchange exchange, long deadlineTicks)
+            implements ClientEvent {}
+
+    /**
+     * An attempt has ended.
+     *
+     * @param body the response body where the outcome is a success that was not streamed
+     * @param endedAtTicks the time of the last byte of the response
+     */
     record AttemptCompleted(
             UpstreamAttempt attempt,
             AttemptOutcome outcome,
             int storeNote,
             byte[] body,
             long endedAtTicks)
-            implements ProxyEvent {}
+            implements AttemptEvent {}
 
-    /**
-     * An answer has begun that is too long to be gathered; what has come of it waits in its pipe.
-     */
+    /** A response has begun that is too long to be buffered; its first bytes are in its pipe. */
     record ResponseStreamStarted(UpstreamAttempt attempt, BodyPipe responsePipe)
-            implements ProxyEvent {}
+            implements AttemptEvent {}
 
-    /** The op's body is on its way to a node and is not kept: no other push can be made. */
-    record RequestBodyClaimed(UpstreamAttempt attempt) implements ProxyEvent {}
+    /** The streamed request body is on its way to a server: no other attempt can be made. */
+    record RequestBodyClaimed(UpstreamAttempt attempt) implements AttemptEvent {}
 
-    /** A body that passes through has come to its last byte, from which the op's TTL runs. */
-    record RequestBodyCompleted(ClientExchange exchange, long deadlineTicks)
-            implements ProxyEvent {}
+    /** The pooled connection of an attempt was of no use; the attempt needs another one. */
+    record PooledConnectionFailed(UpstreamAttempt attempt) implements AttemptEvent {}
 
-    /** The kept connection that was to carry the push was of no use; the push waits for another. */
-    record PooledConnectionFailed(UpstreamAttempt attempt) implements ProxyEvent {}
+    /** A connection to a server is closed. */
+    record UpstreamConnectionClosed(UpstreamConnection connection) implements ConnectionEvent {}
 
-    /** A connection to a node is closed. */
-    record UpstreamConnectionClosed(UpstreamConnection connection) implements ProxyEvent {}
+    /** The descriptor budget is spent: an idle connection to a server is to be closed. */
+    record DescriptorBudgetExceeded() implements ConnectionEvent {}
 
-    /** An endpoint list has come. */
+    /** Discovery has sent an endpoint list or a part of one, or could not be reached. */
     record EndpointListChanged(
             Event.EndpointListReceived list, Map<NodeId, InetSocketAddress> addresses)
-            implements ProxyEvent {}
+            implements FleetEvent {}
 
-    /** A probe has ended. */
-    record HealthCheckCompleted(NodeId node, AttemptOutcome outcome, long durationTicks)
-            implements ProxyEvent {}
+    /** Discovery has sent a list that is older than a known one; it is not in use. */
+    record StaleListReceived(long version) implements FleetEvent {}
 
-    /** The socket budget is spent: an idle connection to a node makes room. */
-    record DescriptorBudgetExceeded() implements ProxyEvent {}
-
-    /** Staff take a node out or put it back; done is told once the module knows. */
-    record NodeMaintenanceChanged(NodeId node, boolean enabled, CompletableFuture<Boolean> applied)
-            implements ProxyEvent {}
+    /** This proxy is to check the health of a node. */
+    record HealthCheckRequested(NodeId node) implements FleetEvent {}
 
-    /** What the fleet's view tells the module. */
-    record RouterEventRaised(Event event) implements ProxyEvent {}
+    /** A health check has ended. */
+    record HealthCheckCompleted(NodeId node, AttemptOutcome outcome, long durationTicks)
+            implements FleetEvent {}
 
-    /** What is seen of the fleet. */
-    record FleetChanged(FleetSnapshot snapshot) implements ProxyEvent {}
+    /**
+     * Operators take a node into maintenance or out of it.
+     *
+     * @param applied completed once the router knows
+     */
+    record NodeMaintenanceChanged(NodeId node, boolean enabled, CompletableFuture<Boolean> applied)
+            implements FleetEvent {}
 
-    /** Discovery tells a list that is older than one that was known; it is not in use. */
-    record StaleListReceived(long version) implements ProxyEvent {}
+    /** The fleet has an event for the router. */
+    record RouterEventRaised(Event event) implements FleetEvent {}
 
-    /** It is this proxy's turn to ask a node how it fares. */
-    record HealthCheckRequested(NodeId node) implements ProxyEvent {}
+    /** The fleet's membership view has changed. */
+    record FleetChanged(FleetSnapshot snapshot) implements FleetEvent {}
 
-    /** Says nothing: one that is more urgent waits beside the queue. */
-    record QueueWakeup() implements ProxyEvent {}
+    /** No content: wakes the owner thread for an urgent event, which is not in the queue. */
+    record QueueWakeup() implements ControlEvent {}
 
-    /** The process is to end, and no op may be kept beyond this time. */
-    record ShutdownRequested(long deadlineTicks) implements ProxyEvent {}
+    /** The process is to end, and every request is to be answered by this time. */
+    record ShutdownRequested(long deadlineTicks) implements ControlEvent {}
 
-    /** The owner thread is to end here. */
-    record StopRequested() implements ProxyEvent {}
+    /** The owner thread is to end once it reaches this event. */
+    record StopRequested() implements ControlEvent {}
 }
--- a/src/main/java/cairnbridge/proxy/RecoveryLink.java
+++ b/src/main/java/cairnbridge/proxy/RecoveryLink.java
@@ -25,140 +25,174 @@
 import java.util.random.RandomGeneratorFactory;
 
 /**
- * Between the proxy and its return after a loss of power: carries what happens to Recovery, which
- * decides, and what that asks for to others. The owner thread's, but for what others are told,
- * which any thread may read.
+ * Connects the proxy to its {@link RecoveryCoordinator}: passes on what happens, and does what it
+ * asks for. The methods of {@link RecoveryListener} and {@link RecoveryHost} are called on the
+ * owner thread; any thread may call the others, which read the status that was published last.
  */
-final class RecoveryLink implements RecoveryHost {
+final class RecoveryLink implements RecoveryHost, RecoveryListener, RecoveryStatus {
     private static final Logger LOG = Logger.getLogger(RecoveryLink.class.getName());
 
+    /** What other threads may read of the recovery. */
+    private record PublishedStatus(
+            RecoveryPhase phase,
+            int originLimit,
+            boolean endpointListConfirmed,
+            List<String> statusLines,
+            long failedAsUnknown,
+            long rejected) {}
+
     private final StateKeeper stateKeeper;
     private final EndpointListHistory endpointListHistory;
     private final DiscoveryWatch discoveryWatch;
     private final EventQueue eventQueue;
     private final RecoveryCoordinator coordinator;
     private final Settings settings;
+
+    /** Set before the proxy starts. */
     private volatile FleetMember fleetMember;
-    private volatile RecoveryPhase phase = RecoveryPhase.AWAIT_MEMBERS;
-    private volatile int originLimit;
-    private volatile boolean endpointListConfirmed;
-    private volatile List<String> statusLines = List.of();
-    private volatile long failedAsUnknown;
-    private volatile long rejected;
 
+    private volatile PublishedStatus published;
+
+    /**
+     * A link to a recovery that begins now.
+     *
+     * @param member the name of this member
+     * @param zone its zone
+     */
     RecoveryLink(
             ProxyConfig config,
-            StateKeeper keeper,
-            String me,
+            StateKeeper stateKeeper,
+            String member,
             String zone,
-            EndpointListHistory book,
-            DiscoveryWatch watch,
-            EventQueue inbox,
-            long now) {
-        this.stateKeeper = keeper;
-        this.endpointListHistory = book;
-        this.discoveryWatch = watch;
-        this.eventQueue = inbox;
+            EndpointListHistory endpointListHistory,
+            DiscoveryWatch discoveryWatch,
+            EventQueue eventQueue,
+            long nowTicks) {
+        this.stateKeeper = stateKeeper;
+        this.endpointListHistory = endpointListHistory;
+        this.discoveryWatch = discoveryWatch;
+        this.eventQueue = eventQueue;
         settings = config.settings();
         coordinator =
                 new RecoveryCoordinator(
-                        keeper.settings(),
-                        keeper.restored(),
+                        stateKeeper.settings(),
+                        stateKeeper.restored(),
                         new RecoveryCoordinator.Deployment(
                                 settings.categories(),
                                 settings.proxies(),
                                 settings.originKind(),
                                 settings.mayProbe(),
-                                me,
+                                member,
                                 zone),
                         RandomGeneratorFactory.of("L64X128MixRandom").create(config.seed()),
-                        now,
+                        nowTicks,
                         this);
-        originLimit = coordinator.originLimit();
+        published =
+                new PublishedStatus(
+                        RecoveryPhase.AWAIT_MEMBERS,
+                        coordinator.originLimit(),
+                        false,
+                        List.of(),
+                        0,
+                        0);
     }
 
-    /** Before anything starts. */
+    /** Sets this proxy's member of the fleet; to be called before the proxy starts. */
     void setMember(FleetMember member) {
         fleetMember = member;
     }
 
-    // The owner thread's.
+    // What happens; the owner thread.
 
-    /** Whether the op goes on; one that does not has had its answer. */
-    boolean admit(ClientExchange client, long expires, long now) {
-        AdmissionDecision verdict =
+    @Override
+    public boolean admit(ClientExchange exchange, long deadlineTicks, long nowTicks) {
+        AdmissionDecision decision =
                 coordinator.admit(
                         new IncomingRequest(
-                                client.requestId,
-                                client.category,
-                                client.key,
-                                client.write,
-                                client.clientRetry,
-                                expires),
-                        now);
-        switch (verdict.kind()) {
-            case REJECTED ->
-                    client.rejectRetryable(
-                            settings.mayAdviseRetry()
-                                    ? Math.min(settings.maxRetryAfter(), verdict.retryAfter())
-                                    : 0);
-            case FAILED -> client.failPermanently();
-            default -> {}
+                                exchange.requestId,
+                                exchange.category,
+                                exchange.key,
+                                exchange.write,
+                                exchange.clientRetry,
+                                deadlineTicks),
+                        nowTicks);
+        switch (decision.kind()) {
+            case REJECTED -> exchange.rejectRetryable(allowedRetryAfter(decision));
+            case FAILED -> exchange.failPermanently();
+            default -> {
+                // An admitted request is answered later.
+            }
         }
-        return verdict.kind() == AdmissionDecision.Kind.ADMITTED;
+        return decision.kind() == AdmissionDecision.Kind.ADMITTED;
     }
 
-    void attemptEnded(UpstreamAttempt call, AttemptOutcome ending, long took, long now) {
-        coordinator.attemptEnded(call.exchange.requestId, call.node, ending, took, now);
+    private long allowedRetryAfter(AdmissionDecision decision) {
+        return settings.mayAdviseRetry()
+                ? Math.min(settings.maxRetryAfter(), decision.retryAfter())
+                : 0;
     }
 
-    void requestAnswered(ClientExchange client) {
-        coordinator.requestAnswered(client.requestId);
+    @Override
+    public void attemptEnded(
+            UpstreamAttempt attempt, AttemptOutcome outcome, long durationTicks, long nowTicks) {
+        coordinator.attemptEnded(
+                attempt.exchange.requestId, attempt.node, outcome, durationTicks, nowTicks);
     }
 
-    void endpointListChanged(Event.EndpointListReceived roster, long now) {
-        coordinator.endpointListChanged(roster, now);
-        publishStatus(now);
+    @Override
+    public void requestAnswered(ClientExchange exchange) {
+        coordinator.requestAnswered(exchange.requestId);
+    }
+
+    @Override
+    public void endpointListChanged(Event.EndpointListReceived list, long nowTicks) {
+        coordinator.endpointListChanged(list, nowTicks);
+        publishStatus(nowTicks);
     }
 
-    /** Discovery has a list that is older than the floor; it is not in use. */
-    void staleListReceived(long version, long now) {
-        coordinator.staleListReceived(version, now);
-        publishStatus(now);
+    @Override
+    public void staleListReceived(long version, long nowTicks) {
+        coordinator.staleListReceived(version, nowTicks);
+        publishStatus(nowTicks);
     }
 
-    void healthCheckCompleted(NodeId node, AttemptOutcome ending, long now) {
-        coordinator.probeEnded(node, ending, now);
+    @Override
+    public void healthCheckCompleted(NodeId node, AttemptOutcome outcome, long nowTicks) {
+        coordinator.probeEnded(node, outcome, nowTicks);
     }
 
-    void fleetChanged(FleetSnapshot sight, long now) {
-        coordinator.fleetChanged(sight, now);
-        publishStatus(now);
+    @Override
+    public void fleetChanged(FleetSnapshot snapshot, long nowTicks) {
+        coordinator.fleetChanged(snapshot, nowTicks);
+        publishStatus(nowTicks);
     }
 
-    void advance(long now) {
-        coordinator.advance(now);
-        publishStatus(now);
+    @Override
+    public void advance(long nowTicks) {
+        coordinator.advance(nowTicks);
+        publishStatus(nowTicks);
     }
 
-    private void publishStatus(long now) {
-        phase = coordinator.phase();
-        originLimit = coordinator.originLimit();
-        endpointListConfirmed = coordinator.isEndpointListConfirmed();
-        statusLines = coordinator.status(now);
-        failedAsUnknown = coordinator.failedAsUnknown();
-        rejected = coordinator.rejected();
+    private void publishStatus(long nowTicks) {
+        published =
+                new PublishedStatus(
+                        coordinator.phase(),
+                        coordinator.originLimit(),
+                        coordinator.isEndpointListConfirmed(),
+                        coordinator.status(nowTicks),
+                        coordinator.failedAsUnknown(),
+                        coordinator.rejected());
         discoveryWatch.setVersionFloor(coordinator.endpointListFloor());
     }
 
-    // What Recovery asks for.
+    // What the recovery asks for; the owner thread.
 
     @Override
     public void usePersistedList() {
-        String kept = stateKeeper.restored().endpointList().json();
-        if (!kept.isEmpty()) {
+        String json = stateKeeper.restored().endpointList().json();
+        if (!json.isEmpty()) {
             discoveryWatch.usePersistedList(
-                    EndpointListHistory.withStartTimes(kept, System.currentTimeMillis()));
+                    EndpointListHistory.withStartTimes(json, System.currentTimeMillis()));
         }
     }
 
@@ -194,51 +228,63 @@
         LOG.info(line);
     }
 
-    // What others are told; any thread.
+    // What the fleet and the operators read; any thread.
 
-    /** The fleet's thread sees the fleet; the owner thread is told. */
-    void fleetChanged(MembershipView view) {
+    /** Passes the view on to the owner thread; called on the fleet's thread. */
+    @Override
+    public void fleetChanged(MembershipView view) {
         stateKeeper.store().checkDisk();
         eventQueue.postUrgent(new ProxyEvent.FleetChanged(FleetSnapshot.of(view)));
     }
 
-    RecoveryProgress progress(long epoch) {
+    @Override
+    public RecoveryProgress progress(long planEpoch) {
+        PublishedStatus status = published;
         return new RecoveryProgress(
-                phase.announced(),
-                isOver() ? 0 : originLimit,
-                Math.max(stateKeeper.restored().epochFloor(), epoch));
+                status.phase().announced(),
+                isOver(status) ? 0 : status.originLimit(),
+                Math.max(stateKeeper.restored().epochFloor(), planEpoch));
     }
 
-    /** The list for a member that asks; a guess of one's own is not passed on. */
-    byte[] confirmedEndpointList() {
-        return endpointListConfirmed
+    /** A list that did not come from discovery is not passed on. */
+    @Override
+    public byte[] confirmedEndpointList() {
+        return published.endpointListConfirmed()
                 ? endpointListHistory.endpointList().getBytes(StandardCharsets.UTF_8)
                 : new byte[0];
     }
 
+    /** Whether the recovery has reached its last phase. */
     boolean isOver() {
-        return phase == RecoveryPhase.SERVE_ALL;
+        return isOver(published);
+    }
+
+    private static boolean isOver(PublishedStatus status) {
+        return status.phase() == RecoveryPhase.SERVE_ALL;
     }
 
+    /** The status for operators, in lines. */
     String statusText() {
-        StringBuilder all = new StringBuilder();
-        statusLines.forEach(line -> all.append(line).append('\n'));
+        StringBuilder text = new StringBuilder();
+        published.statusLines().forEach(line -> text.append(line).append('\n'));
         stateKeeper
                 .restored()
                 .report()
-                .forEach(line -> all.append("kept, ").append(line).append('\n'));
-        all.append("disk ")
+                .forEach(line -> text.append("kept, ").append(line).append('\n'));
+        text.append("disk ")
                 .append(stateKeeper.store().isHealthy() ? "keeps" : "does not keep")
                 .append('\n');
-        return all.toString();
+        return text.toString();
     }
 
+    /** The metrics of the recovery and of the state store. */
     Map<String, Long> metrics() {
-        Map<String, Long> gauges = new LinkedHashMap<>(stateKeeper.store().metrics().values());
-        gauges.put("recovery.phase", (long) phase.metricValue());
-        gauges.put("recovery.confirmed", endpointListConfirmed ? 1L : 0L);
-        gauges.put("recovery.turned_away_total", rejected);
-        gauges.put("recovery.hidden_total", failedAsUnknown);
-        return gauges;
+        PublishedStatus status = published;
+        Map<String, Long> metrics = new LinkedHashMap<>(stateKeeper.store().metrics().values());
+        metrics.put("recovery.phase", (long) status.phase().metricValue());
+        metrics.put("recovery.confirmed", status.endpointListConfirmed() ? 1L : 0L);
+        metrics.put("recovery.turned_away_total", status.rejected());
+        metrics.put("recovery.hidden_total", status.failedAsUnknown());
+        return metrics;
     }
 }
