--- a/src/main/java/cairnbridge/proxy/AttemptEventHandler.java
+++ b/src/main/java/cairnbridge/proxy/AttemptEventHandler.java
@@ -54,7 +54,7 @@
         upstreamPool.release(attempt, isResponseComplete(event.outcome()), clock.now());
         if (!invariants.check(
                 request != null && request.hasOpenAttempts(),
-                "a push ends once, while its op is kept")) {
+                "an attempt ends once, while its request is active")) {
             return;
         }
         request.attemptEnded();
--- a/src/main/java/cairnbridge/proxy/Invariants.java
+++ b/src/main/java/cairnbridge/proxy/Invariants.java
@@ -2,6 +2,7 @@
 
 import java.util.Map;
 import java.util.TreeMap;
+import java.util.logging.Level;
 import java.util.logging.Logger;
 
 /**
@@ -17,7 +18,7 @@
     boolean check(boolean holds, String invariant) {
         assert holds : invariant;
         if (!holds && violations.merge(invariant, 1, Integer::sum) == 1) {
-            LOG.severe("does not hold: " + invariant);
+            LOG.log(Level.SEVERE, "invariant violated: {0}", invariant);
         }
         return holds;
     }
--- a/src/main/java/cairnbridge/proxy/RecoveryLink.java
+++ b/src/main/java/cairnbridge/proxy/RecoveryLink.java
@@ -21,6 +21,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.logging.Level;
 import java.util.logging.Logger;
 import java.util.random.RandomGeneratorFactory;
 
@@ -225,7 +226,7 @@
 
     @Override
     public void log(String line) {
-        LOG.info(line);
+        LOG.log(Level.INFO, "{0}", line);
     }
 
     // What the fleet and the operators read; any thread.
--- a/src/main/java/cairnbridge/proxy/RequestCompletion.java
+++ b/src/main/java/cairnbridge/proxy/RequestCompletion.java
@@ -26,7 +26,7 @@
     void sendFinalAnswer(RequestId id, Consumer<ClientExchange> answer) {
         ActiveRequest request = activeRequests.find(id);
         if (invariants.check(
-                request != null && !request.isAnswered(), "an op has one final answer")) {
+                request != null && !request.isAnswered(), "a request has one final answer")) {
             answer.accept(request.exchange());
             markAnswered(request);
         }
--- a/src/main/java/cairnbridge/proxy/RequestCoordinator.java
+++ b/src/main/java/cairnbridge/proxy/RequestCoordinator.java
@@ -182,7 +182,7 @@
             } catch (InterruptedException e) {
                 stopped = true;
             } catch (RuntimeException e) {
-                LOG.log(Level.SEVERE, "a notice failed", e);
+                LOG.log(Level.SEVERE, "coordinator: handling an event failed", e);
             }
         }
         warmStartState = router.warmStartState();
@@ -289,7 +289,7 @@
         ActiveRequest request = activeRequests.find(id);
         if (invariants.check(
                 request != null && !request.isAnswered(),
-                "nothing is sent for an op after its answer")) {
+                "no attempt is sent after the answer of its request")) {
             attemptSender.startAttempt(request, node, timeout, latestStart);
         }
     }
@@ -346,6 +346,6 @@
 
     @Override
     public void log(String line) {
-        LOG.info(line);
+        LOG.log(Level.INFO, "{0}", line);
     }
 }
--- a/src/main/java/cairnbridge/proxy/RequestDeadlines.java
+++ b/src/main/java/cairnbridge/proxy/RequestDeadlines.java
@@ -46,7 +46,8 @@
         if (request != null && (request.isStreaming() || request.hasStreamedBody())) {
             endStreamedRequest(request);
         } else if (!invariants.check(
-                request == null || request.isAnswered(), "an op is answered before its TTL")) {
+                request == null || request.isAnswered(),
+                "a request is answered before its deadline")) {
             completion.failUnanswered(request);
         }
     }
