--- a/src/test/java/cairnbridge/proxy/ProxyTestSupport.java
+++ b/src/test/java/cairnbridge/proxy/ProxyTestSupport.java
@@ -330,7 +330,7 @@
         builder.environment().put("LB_CONFIG", folder.resolve("config.json").toString());
         builder.environment().put("TMPDIR", folder.toString());
         Process process = builder.start();
-        opened.add(process::destroyForcibly);
+        opened.add(() -> process.destroyForcibly().waitFor());
         return process;
     }
 
