--- a/src/main/java/cairnbridge/recovery/RecoveryCoordinator.java
+++ b/src/main/java/cairnbridge/recovery/RecoveryCoordinator.java
@@ -318,16 +318,15 @@
 
     /** An attempt of a request has ended. */
     public void attemptEnded(
-            RequestId request, NodeId node, AttemptOutcome ending, long duration, long now) {
-        boolean conclusive =
-                ending != AttemptOutcome.CANCELLED && ending != AttemptOutcome.NOT_SENT;
+            RequestId request, NodeId node, AttemptOutcome outcome, long duration, long now) {
+        boolean wasSent = outcome != AttemptOutcome.NOT_SENT;
+        boolean conclusive = wasSent && outcome != AttemptOutcome.CANCELLED;
         boolean atOrigin = conclusive && nodes.isOrigin(node);
-        attemptEnded(request, atOrigin, ending == AttemptOutcome.SUCCESS, duration, now);
+        attemptEnded(request, atOrigin, outcome == AttemptOutcome.SUCCESS, duration, now);
     }
 
     /** The same where it is known whether the end says anything about the origin. */
-    void attemptEnded(
-            RequestId request, boolean atOrigin, boolean succeeded, long duration, long now) {
+    void attemptEnded(RequestId id, boolean atOrigin, boolean succeeded, long duration, long now) {
         if (phase == RecoveryPhase.SERVE_ALL) {
             return;
         }
@@ -336,7 +335,7 @@
             originRamp.attemptEnded(succeeded, duration, now);
         }
         if (succeeded) {
-            admission.attemptSucceeded(request);
+            admission.attemptSucceeded(id);
         }
     }
 
