--- a/src/main/java/cairnbridge/decision/Request.java
+++ b/src/main/java/cairnbridge/decision/Request.java
@@ -27,6 +27,7 @@
     final boolean isWrite;
     final boolean isClientRetry;
     private final List<Attempt> attempts = new ArrayList<>(2);
+    private final List<Attempt> attemptsView = Collections.unmodifiableList(attempts);
     private int openAttempts;
     private double priorityWeight;
     private boolean isFinished;
@@ -53,7 +54,7 @@
 
     /** All attempts so far, by their number. */
     List<Attempt> attempts() {
-        return Collections.unmodifiableList(attempts);
+        return attemptsView;
     }
 
     /** The attempt of a number while it is open; null otherwise. */
--- a/src/main/java/cairnbridge/proxy/ClientTimeouts.java
+++ b/src/main/java/cairnbridge/proxy/ClientTimeouts.java
@@ -8,9 +8,6 @@
  * next request and to close its connection. Called on the scheduler's thread and on the reactor's.
  */
 final class ClientTimeouts {
-    /** The least rate of a client that sends a body. */
-    static final long MIN_BODY_BYTES_PER_MILLI = 48;
-
     private static final Logger LOG = Logger.getLogger(ClientTimeouts.class.getName());
 
     /** To send one request, but for a long body, or for the first one to begin. */
@@ -52,7 +49,7 @@
 
     private static long readLimitNanos(ClientExchange request) {
         long receivedBytes = request == null ? 0 : request.receivedBytes();
-        long bodyMillis = receivedBytes / MIN_BODY_BYTES_PER_MILLI;
+        long bodyMillis = receivedBytes / ListenerState.MIN_BODY_BYTES_PER_MILLI;
         return TimeUnit.MILLISECONDS.toNanos(REQUEST_READ_MILLIS + bodyMillis);
     }
 
