--- a/src/main/java/cairnbridge/proxy/ActiveRequest.java
+++ b/src/main/java/cairnbridge/proxy/ActiveRequest.java
@@ -5,73 +5,73 @@
 import java.util.List;
 
 /**
- * A request from its arrival until it is answered and its last attempt has ended. For the owner
- * thread.
+ * A client request from its arrival until it is answered and all its attempts have ended. Used only
+ * by the coordinator thread.
  */
 final class ActiveRequest {
     private final ClientExchange exchange;
     private final List<UpstreamAttempt> attempts = new ArrayList<>(2);
     private long deadlineTicks;
 
-    /** Null as long as no response is streamed. */
+    /** The attempt whose response is streamed to the client; null if there is none. */
     private UpstreamAttempt streamingAttempt;
 
     private boolean answered;
     private int openAttempts;
 
-    /** A request that must be answered by this time. */
+    /** Creates a request without attempts that must be answered by this deadline. */
     ActiveRequest(ClientExchange exchange, long deadlineTicks) {
         this.exchange = exchange;
         this.deadlineTicks = deadlineTicks;
     }
 
-    /** The client's side of the request. */
+    /** The exchange with the client. */
     ClientExchange exchange() {
         return exchange;
     }
 
-    /** The id under which the router knows the request. */
+    /** The id that identifies the request in the router's events and calls. */
     RequestId id() {
         return exchange.requestId;
     }
 
-    /** The time by which the request must be answered. */
+    /** The time by which the request must be answered, in ticks of the clock. */
     long deadlineTicks() {
         return deadlineTicks;
     }
 
-    /** Moves the deadline. */
+    /** Changes the deadline. */
     void setDeadline(long ticks) {
         deadlineTicks = ticks;
     }
 
-    /** All attempts so far, by their numbers; for reading. */
+    /** All attempts so far, indexed by attempt number. Callers must not modify the list. */
     List<UpstreamAttempt> attempts() {
         return attempts;
     }
 
-    /** Adds an attempt, which is open. */
+    /** Adds an attempt that has just started. */
     void attemptStarted(UpstreamAttempt attempt) {
         attempts.add(attempt);
         openAttempts++;
     }
 
-    /** An attempt has ended. */
+    /** Records that one of the open attempts has ended. */
     void attemptEnded() {
         openAttempts--;
     }
 
-    /** Whether an attempt has not ended yet. */
+    /** Whether any attempt has not ended yet. */
     boolean hasOpenAttempts() {
         return openAttempts > 0;
     }
 
-    /** The response of this attempt is streamed to the client from now on. */
+    /** Records that the response of this attempt is being streamed to the client. */
     void streamFrom(UpstreamAttempt attempt) {
         streamingAttempt = attempt;
     }
 
-    /** Whether a response is streamed to the client. */
+    /** Whether the response of any attempt is streamed to the client. */
     boolean isStreaming() {
         return streamingAttempt != null;
     }
@@ -81,22 +81,22 @@
         return streamingAttempt == attempt;
     }
 
-    /** Whether the request's own body is streamed, and not buffered. */
+    /** Whether the request body is streamed to the node instead of being buffered first. */
     boolean hasStreamedBody() {
         return exchange.requestPipe != null;
     }
 
-    /** No answer is owed any more. */
+    /** Records that the client has been answered, or has disconnected. */
     void markAnswered() {
         answered = true;
     }
 
-    /** Whether no answer is owed any more. */
+    /** Whether the client has been answered, or has disconnected. */
     boolean isAnswered() {
         return answered;
     }
 
-    /** Whether the request is answered and its last attempt has ended. */
+    /** Whether the request is answered and all its attempts have ended. */
     boolean isComplete() {
         return answered && openAttempts == 0;
     }
--- a/src/main/java/cairnbridge/proxy/ActiveRequests.java
+++ b/src/main/java/cairnbridge/proxy/ActiveRequests.java
@@ -9,28 +9,28 @@
 import java.util.Set;
 
 /**
- * The requests that are not complete yet, and the trace ids of those that are not answered yet. For
- * the owner thread; any thread may read the count.
+ * The requests that are not complete yet, and the trace ids of those that are not answered yet.
+ * Used only by the coordinator thread, except for {@link #unansweredCount}.
  */
 final class ActiveRequests {
     private final Map<RequestId, ActiveRequest> requests = new HashMap<>();
     private final Set<String> openTraceIds = new HashSet<>();
     private long lastRequestNumber;
 
-    /** Written by the owner thread alone. */
+    /** Written only by the coordinator thread; read by any thread. */
     private volatile int unansweredCount;
 
-    /** An id that no request of this coordinator has had. */
+    /** Returns an id that this coordinator has not assigned before. */
     RequestId nextId() {
         return new RequestId(++lastRequestNumber);
     }
 
-    /** Claims a trace id until its request is answered; false if another request has it. */
+    /** Reserves a trace id until its request is answered; false if an open request uses it. */
     boolean claimTraceId(String traceId) {
         return openTraceIds.add(traceId);
     }
 
-    /** Adds a request that has an id and has claimed its trace id. */
+    /** Adds a request whose id is assigned and whose trace id is reserved. */
     ActiveRequest add(ClientExchange exchange, long deadlineTicks) {
         ActiveRequest request = new ActiveRequest(exchange, deadlineTicks);
         requests.put(request.id(), request);
@@ -38,33 +38,34 @@
         return request;
     }
 
-    /** The request with this id; null if there is none or it is complete. */
+    /** Returns the request with this id; null if it is unknown or complete. */
     ActiveRequest find(RequestId id) {
         return requests.get(id);
     }
 
     /**
-     * The request of this very exchange; null if there is none or it is complete. The exchange of a
-     * warm-up request has an id of the warm-up's coordinator, which may be in use here as well.
+     * Returns the request of this exchange; null if it is unknown or complete. The id alone is not
+     * enough: the warm-up has a second coordinator, which numbers its requests independently, so
+     * that the exchange of a warm-up request can have the same id as a request of this coordinator.
      */
     ActiveRequest find(ClientExchange exchange) {
         ActiveRequest request = requests.get(exchange.requestId);
         return request != null && request.exchange() == exchange ? request : null;
     }
 
-    /** All requests, for reading. */
+    /** An unmodifiable view of all requests that are not complete. */
     Collection<ActiveRequest> all() {
         return Collections.unmodifiableCollection(requests.values());
     }
 
-    /** No answer is owed for a request any more. */
+    /** Marks a request as answered and releases its trace id. */
     void markAnswered(ActiveRequest request) {
         request.markAnswered();
         openTraceIds.remove(request.exchange().traceId);
         unansweredCount = openTraceIds.size();
     }
 
-    /** Removes a request if it is answered and its last attempt has ended. */
+    /** Removes a request if it is answered and all its attempts have ended. */
     void removeIfComplete(ActiveRequest request) {
         if (request.isComplete()) {
             requests.remove(request.id());
--- a/src/main/java/cairnbridge/proxy/AttemptEventHandler.java
+++ b/src/main/java/cairnbridge/proxy/AttemptEventHandler.java
@@ -8,7 +8,10 @@
 import cairnbridge.proxy.ProxyEvent.RequestBodyClaimed;
 import cairnbridge.proxy.ProxyEvent.ResponseStreamStarted;
 
-/** Handles the events of attempts. For the owner thread. */
+/**
+ * Handles the events of attempts: their ends and the start of streaming. Used only by the
+ * coordinator thread.
+ */
 final class AttemptEventHandler {
     private final UpstreamPool upstreamPool;
     private final ActiveRequests activeRequests;
@@ -34,7 +37,7 @@
         this.clock = context.clock();
     }
 
-    /** Handles one event. */
+    /** Handles one event of an attempt. */
     void handle(AttemptEvent event) {
         if (event instanceof AttemptCompleted completed) {
             handleAttemptCompleted(completed);
@@ -58,8 +61,8 @@
             return;
         }
         request.attemptEnded();
-        // Guards against another attempt for a client that has disconnected, whose event has not
-        // been handled yet.
+        // Guards against a retry for a client that has disconnected while the ClientDisconnected
+        // event is still in the queue.
         if (exchange.hasClientDisconnected()) {
             completion.dropDisconnected(exchange);
         }
@@ -74,7 +77,7 @@
         activeRequests.removeIfComplete(request);
     }
 
-    /** Whether the response was read to its end, so that its connection can be reused. */
+    /** Whether the response was read completely, so that its connection can be reused. */
     private static boolean isResponseComplete(AttemptOutcome outcome) {
         return outcome == AttemptOutcome.SUCCESS
                 || outcome == AttemptOutcome.CACHE_MISS
@@ -113,7 +116,7 @@
                         attempt.attemptNumber,
                         attempt.node,
                         event.outcome(),
-                        event.storeNote(),
+                        event.cacheStatus(),
                         attempt.durationTicks(event.endedAtTicks()),
                         request.isAnswered(),
                         null));
@@ -122,8 +125,8 @@
     private void handleResponseStreamStarted(UpstreamAttempt attempt, BodyPipe responsePipe) {
         ClientExchange exchange = attempt.exchange;
         ActiveRequest request = activeRequests.find(exchange.requestId);
-        // Guards against a response that begins just as its attempt is abandoned, and would break
-        // off at once.
+        // Guards against streaming the response of an attempt that was abandoned while this event
+        // was queued: its connection is closed, and the client would get a truncated response.
         if (request == null
                 || request.isAnswered()
                 || request.isStreaming()
@@ -134,8 +137,8 @@
         }
         request.streamFrom(attempt);
         exchange.streamAnswer(responsePipe);
-        // Guards against a response that goes on at the node, and occupies its connection, for
-        // nobody.
+        // Guards against a node that keeps sending a response, and occupies a connection with it,
+        // after the client has disconnected.
         if (exchange.hasClientDisconnected()) {
             completion.dropDisconnected(exchange);
             return;
--- a/src/main/java/cairnbridge/proxy/AttemptListener.java
+++ b/src/main/java/cairnbridge/proxy/AttemptListener.java
@@ -2,27 +2,32 @@
 
 import cairnbridge.decision.Event.AttemptOutcome;
 
-/** What happens to an attempt at a server; called on the reactor's thread or the owner thread. */
+/**
+ * Receives the events of attempts. Called on the reactor thread, or on the coordinator thread if
+ * that abandons an attempt.
+ */
 interface AttemptListener {
     /**
-     * An attempt has ended.
+     * Called once when an attempt ends.
      *
-     * @param body the answer where the outcome is a success that does not pass through
-     * @param endedAtTicks the time of its last byte
+     * @param cacheStatus 1 for a hit, 2 or 3 for a miss, 0 if the node sent no cache status
+     * @param body the response body if the outcome is a success and the response was buffered; else
+     *     null
+     * @param endedAtTicks when the last byte of the response was read, or the attempt failed
      */
     void attemptCompleted(
             UpstreamAttempt attempt,
             AttemptOutcome outcome,
-            int storeNote,
+            int cacheStatus,
             byte[] body,
             long endedAtTicks);
 
-    /** An answer has begun that is too long to be buffered; what has come waits in its pipe. */
+    /** A response is streamed, not buffered; the bytes received so far are in its pipe. */
     void responseStreamStarted(UpstreamAttempt attempt, BodyPipe responsePipe);
 
-    /** The request's body is on its way and is not kept: no other attempt can be made. */
+    /** The streamed request body is used by this attempt, so no other attempt can send it. */
     void requestBodyClaimed(UpstreamAttempt attempt);
 
-    /** The kept connection was of no use; the attempt waits for another. */
+    /** The pooled connection was stale; the attempt must be sent on another connection. */
     void pooledConnectionFailed(UpstreamAttempt attempt);
 }
--- a/src/main/java/cairnbridge/proxy/AttemptSender.java
+++ b/src/main/java/cairnbridge/proxy/AttemptSender.java
@@ -6,7 +6,7 @@
 import cairnbridge.decision.Ids.NodeId;
 import java.util.Queue;
 
-/** Sends the attempts of requests, and abandons those that must not go on. For the owner thread. */
+/** Starts the attempts of requests, and abandons attempts. Used only by the coordinator thread. */
 final class AttemptSender {
     private final UpstreamPool upstreamPool;
     private final TimerQueue timers;
@@ -16,9 +16,10 @@
     private final ProxyMetrics metrics;
 
     /**
-     * A sender over a pool.
+     * Creates a sender that takes its connections from a pool.
      *
-     * @param deferredEvents receives the ends of abandoned attempts
+     * @param attemptListener receives the events of the attempts
+     * @param deferredEvents receives the completion events of abandoned attempts
      */
     AttemptSender(
             CoordinatorContext context,
@@ -37,8 +38,9 @@
     /**
      * Starts an attempt of a request.
      *
-     * @param timeoutTicks how long it may take; 0 for as long as its request
-     * @param latestStartTicks its last byte leaves before this time or not at all
+     * @param timeoutTicks the timeout of the attempt; 0 for none but the request's deadline
+     * @param latestStartTicks the attempt fails as not sent unless its last byte is written before
+     *     this time
      */
     void startAttempt(
             ActiveRequest request, NodeId node, long timeoutTicks, long latestStartTicks) {
@@ -82,7 +84,10 @@
         abandonAttempt(attempt, AttemptOutcome.NOT_SENT);
     }
 
-    /** Guards against a second connection to a server for an attempt that is already over. */
+    /**
+     * Guards against a new connection for an attempt that was abandoned after its pooled connection
+     * had failed: the attempt is sent again only if it is still waiting.
+     */
     void retryOnAnotherConnection(UpstreamAttempt attempt) {
         attempt.connection.close();
         if (attempt.isWaiting()) {
@@ -92,7 +97,7 @@
 
     /**
      * Abandons the unsent attempts of a request. Guards against an attempt that is sent after the
-     * answer, as its connection comes up.
+     * request was answered, because its connection is established only then.
      */
     void abandonUnsentAttempts(ActiveRequest request) {
         for (UpstreamAttempt attempt : request.attempts()) {
@@ -103,8 +108,9 @@
     }
 
     /**
-     * Abandons the unsent attempts at nodes that take nothing new. Guards against an attempt that
-     * reaches a node after the message that nothing may, as its connection comes up late.
+     * Abandons the unsent attempts to nodes that accept no new requests. Guards against an attempt
+     * that reaches a node after it was drained or put into maintenance, because the connection is
+     * established only then.
      */
     void abandonUnsendableAttempts(Iterable<ActiveRequest> requests) {
         for (ActiveRequest request : requests) {
@@ -117,7 +123,7 @@
         }
     }
 
-    /** Cancels all attempts of a request but one. */
+    /** Cancels all attempts of a request except one. */
     void cancelOtherAttempts(ActiveRequest request, UpstreamAttempt remaining) {
         for (UpstreamAttempt attempt : request.attempts()) {
             if (attempt != remaining) {
@@ -127,8 +133,9 @@
     }
 
     /**
-     * Abandons an attempt unless it has ended, and closes its connection. Its end follows as an
-     * event of the owner thread itself, as the router is never called within its own calls.
+     * Abandons an attempt unless it has ended, and closes its connection. Its completion is a
+     * deferred event, because this method may be called by the router, which must not be called
+     * back before that call returns.
      */
     void abandonAttempt(UpstreamAttempt attempt, AttemptOutcome outcome) {
         AttemptOutcome actualOutcome = attempt.abandon(outcome);
--- a/src/main/java/cairnbridge/proxy/BudgetListener.java
+++ b/src/main/java/cairnbridge/proxy/BudgetListener.java
@@ -1,7 +1,7 @@
 package cairnbridge.proxy;
 
-/** Hears of a spent descriptor budget; called on the reactor's thread. */
+/** Is notified when the file descriptor budget is used up; called on the reactor thread. */
 interface BudgetListener {
-    /** The budget is spent: an idle connection to a server is to make way. */
+    /** The budget is used up: an idle connection to a server should be closed. */
     void descriptorBudgetExceeded();
 }
--- a/src/main/java/cairnbridge/proxy/ClientEventHandler.java
+++ b/src/main/java/cairnbridge/proxy/ClientEventHandler.java
@@ -7,11 +7,11 @@
 import cairnbridge.proxy.ProxyEvent.RequestArrived;
 import cairnbridge.proxy.ProxyEvent.RequestBodyCompleted;
 
-/** Handles the events of clients and their requests. For the owner thread. */
+/** Handles the events of clients and their requests. Used only by the coordinator thread. */
 final class ClientEventHandler {
     /**
-     * Guards against the quota of one tenant applied to the requests of all: HTTP requests do not
-     * name their tenant.
+     * Guards against counting the requests of all tenants against the quota of one: HTTP requests
+     * carry no tenant id.
      */
     private static final TenantId NO_TENANT = new TenantId(-1);
 
@@ -39,7 +39,7 @@
         this.clock = context.clock();
     }
 
-    /** Handles one event. */
+    /** Handles one event of a client. */
     void handle(ClientEvent event) {
         if (event instanceof RequestArrived arrived) {
             handleRequestArrived(arrived.exchange(), arrived.deadlineTicks());
@@ -55,8 +55,7 @@
         if (exchange.isFinished()) {
             return;
         }
-        // Guards against another client that uses the trace id of a request that is not answered
-        // yet.
+        // Guards against two open requests with the same trace id: the second one is rejected.
         if (!activeRequests.claimTraceId(exchange.traceId)) {
             exchange.rejectConflict();
             return;
--- a/src/main/java/cairnbridge/proxy/CoordinatorContext.java
+++ b/src/main/java/cairnbridge/proxy/CoordinatorContext.java
@@ -1,6 +1,9 @@
 package cairnbridge.proxy;
 
-/** What the parts of the coordinator share. For the owner thread. */
+/**
+ * The state and the collaborators that the event handlers of a {@link RequestCoordinator} share.
+ * Used only by the coordinator thread.
+ */
 record CoordinatorContext(
         ActiveRequests activeRequests,
         TimerQueue timers,
@@ -8,7 +11,7 @@
         Invariants invariants,
         RouterNotifier router,
         TickClock clock) {
-    /** An empty context. */
+    /** Creates a context without requests, timers or listeners. */
     CoordinatorContext(RouterNotifier router, TickClock clock) {
         this(
                 new ActiveRequests(),
--- a/src/main/java/cairnbridge/proxy/CoordinatorListeners.java
+++ b/src/main/java/cairnbridge/proxy/CoordinatorListeners.java
@@ -1,29 +1,30 @@
 package cairnbridge.proxy;
 
 /**
- * Who else hears what the coordinator does: the fleet's load counters and the recovery from a power
- * loss, where the proxy has them. Set before the owner thread starts, and read by it alone.
+ * The listeners of a {@link RequestCoordinator}: the fleet's load counters and the recovery from a
+ * power loss, if they are configured. They are set before the coordinator thread starts, and read
+ * only by that thread.
  */
 final class CoordinatorListeners {
     private LoadListener load = LoadListener.NONE;
     private RecoveryListener recovery = RecoveryListener.NONE;
 
-    /** Counts the load. */
+    /** The listener that counts the load; {@link LoadListener#NONE} if none was set. */
     LoadListener load() {
         return load;
     }
 
-    /** Sets who counts the load. */
+    /** Sets the listener that counts the load. */
     void setLoad(LoadListener listener) {
         load = listener;
     }
 
-    /** Admits requests during recovery. */
+    /** The listener that admits requests during recovery; by default it admits all. */
     RecoveryListener recovery() {
         return recovery;
     }
 
-    /** Sets who admits requests during recovery. */
+    /** Sets the listener that admits requests during recovery. */
     void setRecovery(RecoveryListener listener) {
         recovery = listener;
     }
--- a/src/main/java/cairnbridge/proxy/EventQueue.java
+++ b/src/main/java/cairnbridge/proxy/EventQueue.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The bounded queue of events before the owner thread. Any thread may post: it waits while the
- * queue is full, and nothing is dropped. The owner thread alone polls.
+ * The bounded queue of events for the coordinator thread. Any thread may post an event, and waits
+ * while the queue is full; no event is dropped. Only the coordinator thread polls.
  */
 final class EventQueue
         implements ClientEvents,
@@ -25,12 +25,16 @@
     private final BlockingQueue<ProxyEvent> events;
     private final Queue<ProxyEvent> urgentEvents = new ConcurrentLinkedQueue<>();
 
-    /** A queue for so many events; urgent ones do not count. */
+    /**
+     * Creates an empty queue.
+     *
+     * @param capacity the most events that can be queued, not counting urgent ones
+     */
     EventQueue(int capacity) {
         events = new ArrayBlockingQueue<>(capacity);
     }
 
-    /** Adds an event, and waits while the queue is full; an interrupt does not end the wait. */
+    /** Adds an event; waits while the queue is full, even if the thread is interrupted. */
     void post(ProxyEvent event) {
         boolean interrupted = false;
         while (true) {
@@ -46,24 +50,29 @@
         }
     }
 
-    /** Adds an event that overtakes all that are not urgent; does not wait. */
+    /** Adds an event that is polled before all events that are not urgent; does not wait. */
     void postUrgent(ProxyEvent event) {
         urgentEvents.add(event);
-        wakeOwner();
+        wakeCoordinator();
     }
 
-    private void wakeOwner() {
-        // If the queue is full, the owner thread is not asleep.
+    private void wakeCoordinator() {
+        // A full queue needs no wake-up: the coordinator thread does not wait while it has events.
         events.offer(new ProxyEvent.QueueWakeup());
     }
 
-    /** The next event; null if there is none. */
+    /** Removes and returns the next event, urgent ones first; null if there is none. */
     ProxyEvent poll() {
         ProxyEvent urgent = urgentEvents.poll();
         return urgent != null ? urgent : events.poll();
     }
 
-    /** The next event, waited for at most so long; null if there is none. */
+    /**
+     * Removes and returns the next event, urgent ones first, and waits for one if there is none.
+     *
+     * @param maxWaitNanos the longest wait
+     * @return null if no event was posted in that time
+     */
     ProxyEvent poll(long maxWaitNanos) throws InterruptedException {
         ProxyEvent urgent = urgentEvents.poll();
         return urgent != null ? urgent : events.poll(maxWaitNanos, TimeUnit.NANOSECONDS);
@@ -88,10 +97,10 @@
     public void attemptCompleted(
             UpstreamAttempt attempt,
             AttemptOutcome outcome,
-            int storeNote,
+            int cacheStatus,
             byte[] body,
             long endedAtTicks) {
-        post(new ProxyEvent.AttemptCompleted(attempt, outcome, storeNote, body, endedAtTicks));
+        post(new ProxyEvent.AttemptCompleted(attempt, outcome, cacheStatus, body, endedAtTicks));
     }
 
     @Override
--- a/src/main/java/cairnbridge/proxy/FleetEventHandler.java
+++ b/src/main/java/cairnbridge/proxy/FleetEventHandler.java
@@ -12,7 +12,8 @@
 import cairnbridge.proxy.ProxyEvent.StaleListReceived;
 
 /**
- * Handles the events of discovery, health checks, operators and the fleet. For the owner thread.
+ * Handles the events of discovery, health checks, operators and the fleet. Used only by the
+ * coordinator thread.
  */
 final class FleetEventHandler {
     private final UpstreamPool upstreamPool;
@@ -37,7 +38,7 @@
         this.clock = context.clock();
     }
 
-    /** Handles one event. */
+    /** Handles one event of the fleet or its nodes. */
     void handle(FleetEvent event) {
         if (event instanceof EndpointListChanged changed) {
             handleEndpointListChanged(changed);
@@ -56,7 +57,7 @@
         }
     }
 
-    /** Starts a health check, whose end comes back as an event. */
+    /** Starts a health check, whose result is posted as a {@link HealthCheckCompleted} event. */
     void checkHealth(NodeId node) {
         healthCheck.start(node, upstreamPool.addressOf(node));
     }
--- a/src/main/java/cairnbridge/proxy/FleetLoadListener.java
+++ b/src/main/java/cairnbridge/proxy/FleetLoadListener.java
@@ -5,11 +5,11 @@
 import cairnbridge.decision.Ids.NodeId;
 import cairnbridge.fleet.coordination.FleetLoadCounters;
 
-/** Passes the load on to the fleet's counters; called on the owner thread. */
+/** Forwards the load to the fleet's counters; called on the coordinator thread. */
 final class FleetLoadListener implements LoadListener {
     private final FleetLoadCounters counters;
 
-    /** A listener that counts in these counters. */
+    /** Creates a listener that updates these counters. */
     FleetLoadListener(FleetLoadCounters counters) {
         this.counters = counters;
     }
--- a/src/main/java/cairnbridge/proxy/HealthCheck.java
+++ b/src/main/java/cairnbridge/proxy/HealthCheck.java
@@ -6,7 +6,8 @@
 import java.net.InetSocketAddress;
 
 /**
- * Asks a node how it fares, on a connection of its own; to dial and to answer it has the same time.
+ * Checks the health of nodes by HTTP GET requests, each on a new connection. The configured connect
+ * timeout applies to the connect, and again to each wait for bytes of the response.
  */
 final class HealthCheck {
     private static final int OK = 200;
@@ -16,15 +17,21 @@
     private final long timeoutTicks;
     private final String target;
 
-    HealthCheck(ConnectionReactor sockets, EventQueue inbox, TickClock clock, ProxyConfig config) {
-        this.reactor = sockets;
-        this.eventQueue = inbox;
+    HealthCheck(
+            ConnectionReactor reactor, EventQueue eventQueue, TickClock clock, ProxyConfig config) {
+        this.reactor = reactor;
+        this.eventQueue = eventQueue;
         this.clock = clock;
         timeoutTicks = config.network().connectTimeout();
         target = config.readsLoadReports() ? "/-/load" : "/-/healthy";
     }
 
-    /** address is null for a node that no list has named. */
+    /**
+     * Starts a health check of a node. The check fails at once if the address is unknown, or if the
+     * descriptor budget leaves no room for another connection to a server.
+     *
+     * @param address null for a node that is not in the endpoint list
+     */
     void start(NodeId node, InetSocketAddress address) {
         if (address == null || reactor.isUpstreamFull()) {
             eventQueue.post(
@@ -43,10 +50,10 @@
         private final long startedAtTicks;
         private int statusCode;
 
-        PendingCheck(NodeId node, InetSocketAddress address, long sent) {
+        PendingCheck(NodeId node, InetSocketAddress address, long startedAtTicks) {
             super(address, target);
             this.node = node;
-            this.startedAtTicks = sent;
+            this.startedAtTicks = startedAtTicks;
         }
 
         @Override
@@ -56,16 +63,19 @@
 
         @Override
         void onLine(String text) {
-            // The form of reports is not told yet: the module is given none.
+            // Load reports are not parsed, because their format is not specified yet; the router
+            // gets none.
         }
 
         @Override
-        void onEnd(AttemptOutcome how) {
-            AttemptOutcome ending =
-                    how == AttemptOutcome.SUCCESS && statusCode != OK ? AttemptOutcome.ERROR : how;
+        void onEnd(AttemptOutcome outcome) {
+            AttemptOutcome checkOutcome =
+                    outcome == AttemptOutcome.SUCCESS && statusCode != OK
+                            ? AttemptOutcome.ERROR
+                            : outcome;
             eventQueue.post(
                     new ProxyEvent.HealthCheckCompleted(
-                            node, ending, clock.now() - startedAtTicks));
+                            node, checkOutcome, clock.now() - startedAtTicks));
             connection.close();
         }
     }
--- a/src/main/java/cairnbridge/proxy/HealthCheckListener.java
+++ b/src/main/java/cairnbridge/proxy/HealthCheckListener.java
@@ -3,8 +3,8 @@
 import cairnbridge.decision.Event.AttemptOutcome;
 import cairnbridge.decision.Ids.NodeId;
 
-/** Hears of the ends of health checks; called on the reactor's thread. */
+/** Receives the results of health checks; called on the reactor thread. */
 interface HealthCheckListener {
-    /** A health check has ended. */
+    /** A health check of a node has ended, after this duration. */
     void healthCheckCompleted(NodeId node, AttemptOutcome outcome, long durationTicks);
 }
--- a/src/main/java/cairnbridge/proxy/HttpGet.java
+++ b/src/main/java/cairnbridge/proxy/HttpGet.java
@@ -16,7 +16,10 @@
 import org.apache.hc.core5.http.nio.RequestChannel;
 import org.apache.hc.core5.http.protocol.HttpContext;
 
-/** A request of the proxy's own, to discovery or as a probe; its answer comes line by line. */
+/**
+ * A request that the proxy itself originates: to discovery, as a health check or for the warm-up.
+ * It is a GET request unless a body to PUT is set; its response body is parsed line by line.
+ */
 abstract class HttpGet extends UpstreamExchange {
     private static final int MAX_LINE_BYTES = 8 << 20;
     private final String host;
@@ -31,30 +34,32 @@
         this.target = target;
     }
 
-    /** It is to write a value instead of reading one. */
+    /** Makes this a PUT request with the given body. */
     void setPutBody(byte[] bytes) {
         putBody = bytes;
     }
 
-    /** Adds what further headers the request needs. */
+    /** Adds the headers that the request needs besides Host. */
     void addHeaders(BasicHttpRequest request) {
-        // Host is enough for most.
+        // Most requests need no header besides Host.
     }
 
+    /** Called with the status code once the head of the response has been read. */
     abstract void onStatus(int code);
 
+    /** Called with each line of the response body, without its line break. */
     abstract void onLine(String text);
 
     /**
-     * Once: ACKED where the answer came to its end, whatever its status, else how the connection
-     * failed.
+     * Called once: with SUCCESS if the response was read completely, whatever its status; otherwise
+     * with the outcome that tells how the connection failed.
      */
-    abstract void onEnd(AttemptOutcome how);
+    abstract void onEnd(AttemptOutcome outcome);
 
-    private void finishOnce(AttemptOutcome how) {
+    private void finishOnce(AttemptOutcome outcome) {
         if (!finished) {
             finished = true;
-            onEnd(how);
+            onEnd(outcome);
         }
     }
 
@@ -66,9 +71,9 @@
         BasicHttpRequest request = new BasicHttpRequest(putBody == null ? "GET" : "PUT", target);
         request.addHeader("Host", host);
         addHeaders(request);
-        ByteArrayBody rest = new ByteArrayBody(putBody);
-        setBody(rest);
-        channel.sendRequest(request, rest.entityDetails(), context);
+        ByteArrayBody body = new ByteArrayBody(putBody);
+        setBody(body);
+        channel.sendRequest(request, body.entityDetails(), context);
     }
 
     @Override
@@ -89,7 +94,7 @@
             } else if (lineBuffer.size() < MAX_LINE_BYTES) {
                 lineBuffer.write(b);
             } else {
-                throw new IOException("line is too long");
+                throw new IOException("response line is too long");
             }
         }
     }
@@ -111,10 +116,10 @@
 
     @Override
     public void failed(Exception cause) {
-        AttemptOutcome late =
+        AttemptOutcome outcomeAfterStart =
                 cause instanceof SocketTimeoutException
                         ? AttemptOutcome.TIMED_OUT
                         : AttemptOutcome.CONNECTION_LOST;
-        finishOnce(requestStarted ? late : AttemptOutcome.CONNECT_FAILED);
+        finishOnce(requestStarted ? outcomeAfterStart : AttemptOutcome.CONNECT_FAILED);
     }
 }
--- a/src/main/java/cairnbridge/proxy/HttpSettings.java
+++ b/src/main/java/cairnbridge/proxy/HttpSettings.java
@@ -8,19 +8,19 @@
 import org.apache.hc.core5.http.protocol.ResponseContent;
 
 /**
- * The HTTP/1.1 settings of all connections, to clients and to servers. They are immutable and used
- * on any thread.
+ * The HTTP/1.1 settings of all connections, to clients and to servers. They are immutable and may
+ * be used by any thread.
  */
 public final class HttpSettings {
     private static final int BUFFER_BYTES = 4096;
 
-    /** A longer line is part of no request and no response of this protocol. */
+    /** Longest line of a message head; valid requests and responses have only shorter ones. */
     private static final int MAX_HEAD_LINE_BYTES = 4096;
 
-    /** A head with more headers is none of a request or a response of this protocol. */
+    /** Most headers of a message head; valid requests and responses have no more. */
     private static final int MAX_HEADERS = 40;
 
-    /** Buffer sizes and the limits of a head. */
+    /** The buffer sizes and the limits on the head of a message. */
     public static final Http1Config CONFIG =
             Http1Config.custom()
                     .setBufferSize(BUFFER_BYTES)
--- a/src/main/java/cairnbridge/proxy/Invariants.java
+++ b/src/main/java/cairnbridge/proxy/Invariants.java
@@ -6,15 +6,17 @@
 import java.util.logging.Logger;
 
 /**
- * Conditions that must hold. A violation is an assertion error where assertions are on; elsewhere
- * it is counted, and logged the first time. For the owner thread; the counts may be read once it
- * has ended.
+ * Checks conditions that must hold at run time. A violation throws an assertion error if assertions
+ * are enabled; otherwise it is counted, and logged the first time. Used only by the coordinator
+ * thread; other threads may read the counts once that thread has ended.
  */
 final class Invariants {
     private static final Logger LOG = Logger.getLogger(Invariants.class.getName());
     private final Map<String, Integer> violations = new TreeMap<>();
 
-    /** Records a violation unless the condition holds; returns the condition. */
+    /**
+     * Records a violation of the named invariant unless the condition holds; returns the latter.
+     */
     boolean check(boolean holds, String invariant) {
         assert holds : invariant;
         if (!holds && violations.merge(invariant, 1, Integer::sum) == 1) {
@@ -23,7 +25,7 @@
         return holds;
     }
 
-    /** The number of violations by invariant. */
+    /** The number of violations of each invariant that was violated. */
     Map<String, Integer> violations() {
         return violations;
     }
--- a/src/main/java/cairnbridge/proxy/LoadListener.java
+++ b/src/main/java/cairnbridge/proxy/LoadListener.java
@@ -4,14 +4,17 @@
 import cairnbridge.decision.Event.AttemptOutcome;
 import cairnbridge.decision.Ids.NodeId;
 
-/** Counts the load of this proxy for its fleet; called on the owner thread. Times are ticks. */
+/**
+ * Is notified of the requests and attempts of this proxy, to count its load for the fleet. Called
+ * on the coordinator thread; times are ticks.
+ */
 interface LoadListener {
-    /** Counts nothing. */
+    /** A listener that ignores all notifications, for a proxy without a fleet. */
     LoadListener NONE =
             new LoadListener() {
                 @Override
                 public void requestAccepted(int category) {
-                    // Nothing is counted.
+                    // This listener counts nothing.
                 }
 
                 @Override
@@ -22,33 +25,33 @@
                         long durationTicks,
                         long remainingTicks,
                         long nowTicks) {
-                    // Nothing is counted.
+                    // This listener counts nothing.
                 }
 
                 @Override
                 public void endpointListChanged(Event.EndpointListReceived list) {
-                    // Nothing is counted.
+                    // This listener counts nothing.
                 }
 
                 @Override
                 public void healthCheckCompleted(
                         NodeId node, AttemptOutcome outcome, long nowTicks) {
-                    // Nothing is counted.
+                    // This listener counts nothing.
                 }
 
                 @Override
                 public void publish(long nowTicks) {
-                    // Nothing is counted.
+                    // This listener counts nothing.
                 }
             };
 
-    /** A request of a category was accepted. */
+    /** A request of this category was accepted from a client. */
     void requestAccepted(int category);
 
     /**
-     * An attempt has ended.
+     * An attempt at a node has ended.
      *
-     * @param remainingTicks what was left until its request's deadline
+     * @param remainingTicks the time left until the deadline of its request; negative if it is past
      */
     void attemptEnded(
             NodeId node,
@@ -58,12 +61,12 @@
             long remainingTicks,
             long nowTicks);
 
-    /** Discovery has sent a list or a part of one, or could not be reached. */
+    /** Discovery has sent the endpoint list or changes of it, or could not be reached. */
     void endpointListChanged(Event.EndpointListReceived list);
 
-    /** A health check has ended. */
+    /** A health check of a node has ended. */
     void healthCheckCompleted(NodeId node, AttemptOutcome outcome, long nowTicks);
 
-    /** Makes what was counted so far readable for other threads. */
+    /** Publishes the counts so far to other threads. */
     void publish(long nowTicks);
 }
--- a/src/main/java/cairnbridge/proxy/ProxyEvent.java
+++ b/src/main/java/cairnbridge/proxy/ProxyEvent.java
@@ -9,14 +9,14 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * What has happened that concerns the owner thread. Other threads reach it by events in its {@link
- * EventQueue} and in no other way.
+ * An event for the coordinator thread. Other threads change the coordinator's state only by posting
+ * events to its {@link EventQueue}.
  */
 sealed interface ProxyEvent {
     /** An event of a client or of its request. */
     sealed interface ClientEvent extends ProxyEvent {}
 
-    /** An event of an attempt at a server. */
+    /** An event of an attempt at a node. */
     sealed interface AttemptEvent extends ProxyEvent {}
 
     /** An event of the connections to servers. */
@@ -25,84 +25,86 @@
     /** An event of discovery, of health checks, of operators or of the fleet. */
     sealed interface FleetEvent extends ProxyEvent {}
 
-    /** An event of the owner thread itself. */
+    /** An event that controls the coordinator thread itself. */
     sealed interface ControlEvent extends ProxyEvent {}
 
-    /** A request has arrived. */
+    /** A request has been read, or its body has started to be streamed. */
     record RequestArrived(ClientExchange exchange, long deadlineTicks) implements ClientEvent {}
 
-    /** A client has closed its connection. */
+    /** A client has closed its connection before its request was answered completely. */
     record ClientDisconnected(ClientExchange exchange) implements ClientEvent {}
 
-    /** A streamed request body has come to its last byte; the request's TTL counts from there. */
+    /** A streamed request body has been received completely; the request's TTL starts now. */
     record RequestBodyCompleted(ClientExchange exchange, long deadlineTicks)
             implements ClientEvent {}
 
     /**
      * An attempt has ended.
      *
-     * @param body the response body where the outcome is a success that was not streamed
-     * @param endedAtTicks the time of the last byte of the response
+     * @param cacheStatus 1 for a hit, 2 or 3 for a miss, 0 if the node sent no cache status
+     * @param body the response body if the outcome is a success and the response was buffered; else
+     *     null
+     * @param endedAtTicks when the last byte of the response was read, or the attempt failed
      */
     record AttemptCompleted(
             UpstreamAttempt attempt,
             AttemptOutcome outcome,
-            int storeNote,
+            int cacheStatus,
             byte[] body,
             long endedAtTicks)
             implements AttemptEvent {}
 
-    /** A response has begun that is too long to be buffered; its first bytes are in its pipe. */
+    /** A response is streamed, not buffered; the bytes received so far are in its pipe. */
     record ResponseStreamStarted(UpstreamAttempt attempt, BodyPipe responsePipe)
             implements AttemptEvent {}
 
-    /** The streamed request body is on its way to a server: no other attempt can be made. */
+    /** The streamed request body is used by this attempt, so no other attempt can send it. */
     record RequestBodyClaimed(UpstreamAttempt attempt) implements AttemptEvent {}
 
-    /** The pooled connection of an attempt was of no use; the attempt needs another one. */
+    /** The pooled connection of an attempt was stale; the attempt needs another connection. */
     record PooledConnectionFailed(UpstreamAttempt attempt) implements AttemptEvent {}
 
-    /** A connection to a server is closed. */
+    /** A connection to a server was closed, by either side. */
     record UpstreamConnectionClosed(UpstreamConnection connection) implements ConnectionEvent {}
 
-    /** The descriptor budget is spent: an idle connection to a server is to be closed. */
+    /** The descriptor budget is used up: an idle connection to a server should be closed. */
     record DescriptorBudgetExceeded() implements ConnectionEvent {}
 
-    /** Discovery has sent an endpoint list or a part of one, or could not be reached. */
+    /** Discovery has sent the endpoint list or changes of it, or could not be reached. */
     record EndpointListChanged(
             Event.EndpointListReceived list, Map<NodeId, InetSocketAddress> addresses)
             implements FleetEvent {}
 
-    /** Discovery has sent a list that is older than a known one; it is not in use. */
+    /** Discovery has sent an endpoint list that is older than a known one; it is not used. */
     record StaleListReceived(long version) implements FleetEvent {}
 
-    /** This proxy is to check the health of a node. */
+    /** Requests a health check of a node by this proxy. */
     record HealthCheckRequested(NodeId node) implements FleetEvent {}
 
-    /** A health check has ended. */
+    /** A health check of a node has ended. */
     record HealthCheckCompleted(NodeId node, AttemptOutcome outcome, long durationTicks)
             implements FleetEvent {}
 
     /**
-     * Operators take a node into maintenance or out of it.
+     * An operator has put a node into maintenance or taken it out.
      *
-     * @param applied completed once the router knows
+     * @param applied completed once the pool and the router have applied the change
      */
     record NodeMaintenanceChanged(NodeId node, boolean enabled, CompletableFuture<Boolean> applied)
             implements FleetEvent {}
 
-    /** The fleet has an event for the router. */
+    /** Carries an event from the fleet to the router. */
     record RouterEventRaised(Event event) implements FleetEvent {}
 
     /** The fleet's membership view has changed. */
     record FleetChanged(FleetSnapshot snapshot) implements FleetEvent {}
 
-    /** No content: wakes the owner thread for an urgent event, which is not in the queue. */
+    /** Wakes the coordinator thread to poll an urgent event, which has a queue of its own. */
     record QueueWakeup() implements ControlEvent {}
 
-    /** The process is to end, and every request is to be answered by this time. */
+    /** The process shuts down: every request must be answered by this deadline. */
     record ShutdownRequested(long deadlineTicks) implements ControlEvent {}
 
-    /** The owner thread is to end once it reaches this event. */
+    /** The coordinator thread ends after the events queued before this one. */
     record StopRequested() implements ControlEvent {}
 }
--- a/src/main/java/cairnbridge/proxy/RequestCompletion.java
+++ b/src/main/java/cairnbridge/proxy/RequestCompletion.java
@@ -4,7 +4,10 @@
 import cairnbridge.decision.Ids.RequestId;
 import java.util.function.Consumer;
 
-/** Brings requests to their one final answer, or drops them without one. For the owner thread. */
+/**
+ * Answers each request once, or drops it if its client has disconnected. Used only by the
+ * coordinator thread.
+ */
 final class RequestCompletion {
     private final ActiveRequests activeRequests;
     private final AttemptSender attemptSender;
@@ -22,7 +25,7 @@
         this.clock = context.clock();
     }
 
-    /** Gives a request the final answer that the router has decided on. */
+    /** Sends a request's final answer, which the router has chosen. */
     void sendFinalAnswer(RequestId id, Consumer<ClientExchange> answer) {
         ActiveRequest request = activeRequests.find(id);
         if (invariants.check(
@@ -32,13 +35,13 @@
         }
     }
 
-    /** Fails a request that the router has left unanswered. */
+    /** Answers a request as failed that the router has left unanswered at its deadline. */
     void failUnanswered(ActiveRequest request) {
         request.exchange().failPermanently();
         dropRequest(request);
     }
 
-    /** Drops the request of a client that has disconnected, unless it is answered. */
+    /** Drops the request of a client that has disconnected, unless it has been answered. */
     void dropDisconnected(ClientExchange exchange) {
         ActiveRequest request = activeRequests.find(exchange);
         if (request != null && !request.isAnswered()) {
@@ -46,13 +49,13 @@
         }
     }
 
-    /** No answer is owed any more, and the router does not know it yet. */
+    /** Marks a request as answered, and notifies the router, which has not decided this. */
     private void dropRequest(ActiveRequest request) {
         markAnswered(request);
         router.notifyRouter(clock.now(), new Event.RequestCancelled(request.id()));
     }
 
-    /** No answer is owed for a request any more: what is not sent yet is abandoned. */
+    /** Marks a request as answered, and abandons its attempts that have not been sent yet. */
     void markAnswered(ActiveRequest request) {
         activeRequests.markAnswered(request);
         listeners.recovery().requestAnswered(request.exchange());
--- a/src/main/java/cairnbridge/proxy/RequestContext.java
+++ b/src/main/java/cairnbridge/proxy/RequestContext.java
@@ -10,12 +10,12 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * What every request is read with: the clock, the metrics, the categories, the deadlines and the
- * filter. Any thread may call it: the shutdown deadline and the filter are volatile, everything
- * else is set once.
+ * The state that all client requests are parsed with: the clock, the metrics, the categories, the
+ * limits on deadlines and the filter. Thread-safe: the shutdown deadline and the filter are
+ * volatile, and the other fields do not change.
  */
 public final class RequestContext {
-    /** Guards against an hour of patience that would be an hour of memory. */
+    /** Guards against a request that is held in memory for an hour because its TTL says so. */
     private static final long MAX_TTL_TICKS = 60 * Ticks.SECOND;
 
     private final TickClock clock;
@@ -26,9 +26,9 @@
     private volatile RequestFilter filter = RequestFilter.NONE;
 
     /**
-     * A context without a filter.
+     * Creates a context without a filter.
      *
-     * @param categories the names that a path may begin with, by the numbers of the settings
+     * @param categories the category names that a path may begin with, ordered by category id
      */
     public RequestContext(TickClock clock, List<String> categories, ProxyMetrics metrics) {
         this.clock = clock;
@@ -38,50 +38,54 @@
         }
     }
 
-    /** The clock of all deadlines. */
+    /** The clock that all deadlines refer to. */
     public TickClock clock() {
         return clock;
     }
 
-    /** Where requests are counted. */
+    /** The metrics in which requests are counted. */
     public ProxyMetrics metrics() {
         return metrics;
     }
 
-    /** The bytes that all pipes of this proxy buffer together. */
+    /** The number of bytes that all pipes of this proxy buffer at present. */
     public AtomicLong pipedBytes() {
         return pipedBytes;
     }
 
-    /** Sees each request from now on, until another filter is set. */
+    /** Sets the filter that every later request passes through, in place of the present one. */
     public void setFilter(RequestFilter filter) {
         this.filter = filter;
     }
 
-    /** The filter in force. */
+    /** The present filter; {@link RequestFilter#NONE} until one is set. */
     public RequestFilter filter() {
         return filter;
     }
 
-    /** From now on no request gets a deadline later than this time, in ticks of the clock. */
+    /** Limits the deadlines of all later requests to this time, in ticks of the clock. */
     public void setShutdownDeadline(long ticks) {
         shutdownDeadlineTicks = ticks;
     }
 
     /**
-     * When a request that is complete must have been answered: as its client says, within a minute,
-     * and before the proxy shuts down.
+     * The deadline of a completely received request: its TTL from now, but at most a minute, and no
+     * later than the shutdown deadline.
      *
      * @param now the present time in ticks
+     * @param ttlTicks the TTL that the client has sent
      */
     public long deadline(long now, long ttlTicks) {
         return Math.min(now + Math.min(ttlTicks, MAX_TTL_TICKS), shutdownDeadlineTicks);
     }
 
     /**
-     * The same for a request whose body is still being received, which may take its time.
+     * The deadline of a request whose body is still being received. It allows in addition for the
+     * time that the slowest permitted client needs to send the rest of the body.
      *
-     * @param bytesLeft how much of the body is yet to come, at most
+     * @param now the present time in ticks
+     * @param ttlTicks the TTL that the client has sent
+     * @param bytesLeft an upper bound on the bytes of the body that are yet to be received
      */
     public long streamingDeadline(long now, long ttlTicks, long bytesLeft) {
         long slowestMillis = bytesLeft / ListenerState.MIN_BODY_BYTES_PER_MILLI;
@@ -90,7 +94,7 @@
                 now + Math.min(ttlTicks, MAX_TTL_TICKS) + slowestTicks, shutdownDeadlineTicks);
     }
 
-    /** The category of a name; empty if the settings have none of that name. */
+    /** The category with this name; empty if the settings define none. */
     Optional<CategoryId> category(String name) {
         return Optional.ofNullable(categories.get(name));
     }
--- a/src/main/java/cairnbridge/proxy/RequestCoordinator.java
+++ b/src/main/java/cairnbridge/proxy/RequestCoordinator.java
@@ -32,14 +32,14 @@
 import java.util.logging.Logger;
 
 /**
- * The owner thread: takes the events of the proxy from their queue, passes them to the router, and
- * does what the router asks for. The router, the timers and the requests belong to this thread
- * alone; methods that other threads may call say so.
+ * The coordinator thread: takes the proxy's events from the {@link EventQueue}, passes them to the
+ * router, and carries out the router's calls to its {@link Host}. The router, the timers and the
+ * active requests are used only by this thread; methods that other threads may call say so.
  */
 final class RequestCoordinator implements Host, Runnable, RouterNotifier {
     private static final Logger LOG = Logger.getLogger(RequestCoordinator.class.getName());
 
-    /** The watch as the coordinator sees it. */
+    /** Adapts the discovery watch to the interface that the coordinator uses. */
     private record WatchSource(DiscoveryWatch watch) implements EndpointSource {
         @Override
         public void subscribe(boolean on) {
@@ -52,12 +52,13 @@
         }
     }
 
-    /** Timers are looked at after at most so many events of the queue. */
-    private static final int MAX_BATCH = 64;
+    /** The most events that are handled before timers are checked. */
+    private static final int MAX_BATCH_EVENTS = 64;
 
-    private static final long MAX_SWEEP_TICKS = Ticks.SECOND / 2;
+    /** The longest interval between two sweeps, see {@link #sweep}. */
+    private static final long MAX_SWEEP_INTERVAL_TICKS = Ticks.SECOND / 2;
 
-    /** An idle process wakes up this often, so that it notices when it was stalled. */
+    /** An idle coordinator wakes up this often, so that it detects a stall of the process. */
     private static final long IDLE_WAKEUP_TICKS = 20 * Ticks.MILLISECOND;
 
     private final EventQueue eventQueue;
@@ -72,7 +73,10 @@
     private final StallDetector stallDetector = new StallDetector(IDLE_WAKEUP_TICKS);
     private final CoordinatorListeners listeners;
 
-    /** Events of the owner thread itself: the router is never called within its own calls. */
+    /**
+     * Events that this thread raises itself. They are handled after the present one, because the
+     * router must not be called back while it makes a call.
+     */
     private final ArrayDeque<ProxyEvent> deferredEvents = new ArrayDeque<>();
 
     private final AttemptSender attemptSender;
@@ -88,10 +92,10 @@
     private volatile WarmStartState warmStartState = WarmStartState.EMPTY;
 
     /**
-     * A coordinator whose thread is not started yet.
+     * Creates a coordinator; the caller starts its thread.
      *
-     * @param discoveryWatch asks discovery for the endpoint list; null where nobody is asked
-     * @param warmStart what the router starts with
+     * @param discoveryWatch fetches the endpoint list from discovery; null if there is no discovery
+     * @param warmStart the state of an earlier process from which the router starts
      */
     RequestCoordinator(
             ProxyConfig config,
@@ -109,7 +113,7 @@
         upstreamPool =
                 new UpstreamPool(
                         reactor, config.network().connectTimeout(), config.network().idleTimeout());
-        sweepIntervalTicks = Math.min(MAX_SWEEP_TICKS, upstreamPool.sweepIntervalTicks());
+        sweepIntervalTicks = Math.min(MAX_SWEEP_INTERVAL_TICKS, upstreamPool.sweepIntervalTicks());
         CoordinatorContext context = new CoordinatorContext(this, clock);
         activeRequests = context.activeRequests();
         timers = context.timers();
@@ -127,17 +131,17 @@
         router = new Router(config.settings(), config.seed(), lastRouterTimeTicks, this, warmStart);
     }
 
-    /** Counts the load for a fleet from now on; to be called before the thread starts. */
+    /** Sets the counters of the load for the fleet; must be called before the thread starts. */
     void setLoadCounters(FleetLoadCounters counters) {
         setLoadListener(new FleetLoadListener(counters));
     }
 
-    /** Sets who counts the load; to be called before the thread starts. */
+    /** Sets the listener that counts the load; must be called before the thread starts. */
     void setLoadListener(LoadListener listener) {
         listeners.setLoad(listener);
     }
 
-    /** Sets who admits requests during recovery; to be called before the thread starts. */
+    /** Sets the listener that admits requests; must be called before the thread starts. */
     void setRecovery(RecoveryListener listener) {
         listeners.setRecovery(listener);
     }
@@ -147,31 +151,33 @@
         return activeRequests.unansweredCount();
     }
 
-    /** What the router had learnt a moment ago; any thread may call this. */
+    /** The router's state for a warm start, as of the last sweep; any thread may call this. */
     WarmStartState warmStartState() {
         return warmStartState;
     }
 
-    /** The number of violations by invariant; to be read once the thread has ended. */
+    /** The number of violations of each invariant; may be read once the thread has ended. */
     Map<String, Integer> invariantViolations() {
         return invariants.violations();
     }
 
     /**
-     * Ends the thread, which must be interrupted if it is to end at once; any thread may call this.
+     * Ends the thread after its present batch of events; interrupting the thread as well ends its
+     * wait for events. Any thread may call this.
      */
     void stop() {
         stopped = true;
     }
 
     /**
-     * Ends the thread once it has handled all that is in the queue now; any thread may call this.
+     * Ends the thread once it has handled the events that are in the queue now; any thread may call
+     * this.
      */
     void stopWhenDrained() {
         eventQueue.post(new StopRequested());
     }
 
-    // The loop.
+    // The event loop.
 
     @Override
     public void run() {
@@ -213,7 +219,7 @@
                 : Math.max(0, Math.min(idleNanos, clock.nanosUntil(timers.nextDueTicks())));
     }
 
-    /** The next event, waited for at most so long; null if there is none. */
+    /** Returns the next event, waiting for at most this time; null if there is none. */
     private ProxyEvent awaitEvent(long waitNanos) throws InterruptedException {
         if (!deferredEvents.isEmpty()) {
             return deferredEvents.poll();
@@ -221,12 +227,12 @@
         return waitNanos == 0 ? eventQueue.poll() : eventQueue.poll(waitNanos);
     }
 
-    /** The next event of this batch, of which so many are handled; null if there is none. */
+    /** Returns the next event of a batch; null if none is queued or the batch is full. */
     private ProxyEvent nextEvent(int handled) {
         if (!deferredEvents.isEmpty()) {
             return deferredEvents.poll();
         }
-        return handled < MAX_BATCH ? eventQueue.poll() : null;
+        return handled < MAX_BATCH_EVENTS ? eventQueue.poll() : null;
     }
 
     private void fireTimer(TimerTarget target, long now) {
@@ -282,14 +288,14 @@
         router.handle(nowTicks, event);
     }
 
-    // What the router asks for.
+    // The methods of Host, which the router calls while it handles an event.
 
     @Override
     public void sendAttempt(RequestId id, NodeId node, long timeout, long latestStart) {
         ActiveRequest request = activeRequests.find(id);
         if (invariants.check(
                 request != null && !request.isAnswered(),
-                "no attempt is sent after the answer of its request")) {
+                "no attempt is sent after its request was answered")) {
             attemptSender.startAttempt(request, node, timeout, latestStart);
         }
     }
@@ -314,8 +320,8 @@
 
     @Override
     public void startTimer(long delay, TimerId timer) {
-        // Guards against a thread that stalls while the router decides: its delays count from the
-        // time it was given with the event.
+        // Guards against a timer that fires late because the thread was stalled while the router
+        // handled the event: the delay counts from the time of the event.
         timers.scheduleRouterTimer(lastRouterTimeTicks + delay, timer);
     }
 
--- a/src/main/java/cairnbridge/proxy/RequestDeadlines.java
+++ b/src/main/java/cairnbridge/proxy/RequestDeadlines.java
@@ -5,9 +5,12 @@
 import cairnbridge.decision.Ids.RequestId;
 import cairnbridge.time.Ticks;
 
-/** The deadlines of requests and the timeouts of attempts. For the owner thread. */
+/**
+ * Handles the deadlines of requests and the timeouts of attempts. Used only by the coordinator
+ * thread.
+ */
 final class RequestDeadlines {
-    /** A request with a streamed body is ended this long before its deadline. */
+    /** A request with a streamed body is ended this much before its deadline. */
     private static final long DEADLINE_MARGIN_TICKS = 20 * Ticks.MILLISECOND;
 
     private final ActiveRequests activeRequests;
@@ -29,7 +32,7 @@
         this.clock = context.clock();
     }
 
-    /** An attempt has timed out; one whose response is streamed goes on. */
+    /** Abandons an attempt that has timed out, unless its response is being streamed. */
     void attemptTimedOut(UpstreamAttempt attempt) {
         ActiveRequest request = activeRequests.find(attempt.exchange.requestId);
         if (request == null || !request.isStreamedFrom(attempt)) {
@@ -38,7 +41,7 @@
     }
 
     /**
-     * The deadline of a request has come. Guards against a defect in the router that leaves a
+     * Handles the deadline of a request. Guards against a defect in the router that leaves a
      * request without an answer.
      */
     void deadlineReached(RequestId id) {
@@ -53,8 +56,8 @@
     }
 
     /**
-     * A streamed response has its own limits; a request whose body was streamed has until its
-     * deadline to be answered.
+     * Ends a request whose body was streamed and that has no response yet. A response that is being
+     * streamed may take longer than the deadline: {@link BodyPipe} limits how long it may stall.
      */
     private void endStreamedRequest(ActiveRequest request) {
         if (request.isStreaming()) {
@@ -72,7 +75,7 @@
         }
     }
 
-    /** The deadline of a request with a streamed body counts from the body's last byte. */
+    /** Sets the deadline of a request whose streamed body has been received completely. */
     void requestBodyCompleted(ClientExchange exchange, long deadlineTicks) {
         ActiveRequest request = activeRequests.find(exchange);
         if (request != null) {
@@ -81,7 +84,7 @@
         }
     }
 
-    /** The process is to end: every request is answered by this time. */
+    /** Limits the deadlines of all requests to this time, because the process shuts down. */
     void scheduleShutdown(long deadlineTicks) {
         for (ActiveRequest request : activeRequests.all()) {
             if (request.deadlineTicks() > deadlineTicks) {
--- a/src/main/java/cairnbridge/proxy/RouterNotifier.java
+++ b/src/main/java/cairnbridge/proxy/RouterNotifier.java
@@ -2,8 +2,11 @@
 
 import cairnbridge.decision.Event;
 
-/** Passes events to the router; for the owner thread, and never within a call of the router. */
+/**
+ * Passes events to the router. Used only by the coordinator thread, and never from within a call
+ * that the router makes to its host.
+ */
 interface RouterNotifier {
-    /** Passes an event, which the router handles before this returns. */
+    /** Passes an event to the router, which handles it before this method returns. */
     void notifyRouter(long nowTicks, Event event);
 }
--- a/src/main/java/cairnbridge/proxy/SendPermit.java
+++ b/src/main/java/cairnbridge/proxy/SendPermit.java
@@ -4,21 +4,21 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * Whether an attempt may still be sent. It is issued with the decision to send, checked again where
- * the bytes leave, and revoked by whoever learns of a reason: the reactor thread that sees a client
- * disconnect, the coordinator thread that answers the request or hears that a node drains. Any
- * thread may call it; nothing here waits or does I/O.
+ * The permission to send an attempt. It is issued when the router decides to send the attempt, and
+ * checked again when its bytes are written. The reactor thread revokes it when the client
+ * disconnects; the coordinator thread revokes it when the request is answered or the node drains.
+ * Thread-safe; no method blocks or does I/O.
  */
 public final class SendPermit {
-    /** The permit of the attempt's request; null in a request's own. */
+    /** The permit of the request that the attempt belongs to; null if this is that permit. */
     private final SendPermit requestPermit;
 
     private final long latestStartTicks;
 
-    /** Null until it is revoked. */
+    /** Why the permit was revoked; null if it was not. */
     private final AtomicReference<AttemptRejection> revocation = new AtomicReference<>();
 
-    /** A request's: valid for as long as its client waits for an answer. */
+    /** Creates the permit of a request, which is valid while its client waits for an answer. */
     public SendPermit() {
         this(null, Long.MAX_VALUE);
     }
@@ -29,20 +29,20 @@
     }
 
     /**
-     * For one attempt of this request.
+     * Creates the permit of one attempt of this request.
      *
-     * @param latestStartTicks the first time at which it is too late, in ticks
+     * @param latestStartTicks the time in ticks from which on the attempt may not be sent any more
      */
     public SendPermit forAttempt(long latestStartTicks) {
         return new SendPermit(this, latestStartTicks);
     }
 
-    /** From now on nothing is sent; the first reason stays. */
+    /** Revokes the permit; if it was revoked before, the earlier reason remains. */
     public void revoke(AttemptRejection reason) {
         revocation.compareAndSet(null, reason);
     }
 
-    /** Why the first byte may not be sent now; null if it may. */
+    /** Returns why the first byte may not be sent now; null if it may. */
     public AttemptRejection rejection(long now) {
         AttemptRejection reason = revocation.get();
         if (reason == null && requestPermit != null) {
@@ -52,8 +52,9 @@
     }
 
     /**
-     * The same for the last byte of an attempt, with which a node begins to work on it. A request
-     * sent to a node that drains counts from its first byte: what was begun in time is finished.
+     * Returns why the last byte may not be sent now; null if it may. A node starts to execute a
+     * request when it receives the last byte. That the node drains is no reason here: a request
+     * whose first byte was sent before the drain is sent completely.
      */
     public AttemptRejection rejectionOfLastByte(long now) {
         AttemptRejection reason = rejection(now);
--- a/src/main/java/cairnbridge/proxy/StallDetector.java
+++ b/src/main/java/cairnbridge/proxy/StallDetector.java
@@ -3,9 +3,10 @@
 import cairnbridge.time.Ticks;
 
 /**
- * Measures how long the whole process stood still, by the delay of the owner thread's wake-ups.
- * Guards against a stall of the whole process: requests read after it arrived during it, and their
- * TTL ran meanwhile. For the owner thread; all times and durations are ticks.
+ * Measures how long the whole process was stalled, by how late the coordinator thread wakes up.
+ * Guards against a request that arrives during a stall, is read after it, and is then given its
+ * full TTL although a part of it has passed. Used only by the coordinator thread; all times and
+ * durations are ticks.
  */
 final class StallDetector {
     private static final long STALL_THRESHOLD_TICKS = 5 * Ticks.MILLISECOND;
@@ -15,17 +16,17 @@
     private long stallTicks;
     private long stallEndsAtTicks;
 
-    /** A detector for a thread that wakes up at least once in this interval. */
+    /** Creates a detector for a thread that waits for at most this time before it wakes up. */
     StallDetector(long idleWakeupTicks) {
         this.idleWakeupTicks = idleWakeupTicks;
     }
 
-    /** The thread has started. */
+    /** Must be called when the thread starts, before its first wait. */
     void started(long nowTicks) {
         lastWakeupTicks = nowTicks;
     }
 
-    /** The thread has woken up after it meant to wait for at most so long. */
+    /** Must be called when the thread wakes up after a wait of at most the given time. */
     void wokeUp(long nowTicks, long maxWaitTicks) {
         long delayTicks = nowTicks - lastWakeupTicks - maxWaitTicks;
         lastWakeupTicks = nowTicks;
@@ -37,7 +38,7 @@
         }
     }
 
-    /** How long a request that is read now may have waited already; 0 if there was no stall. */
+    /** How long a request that is read now may have been waiting; 0 if there was no stall. */
     long stallTicks() {
         return stallTicks;
     }
--- a/src/main/java/cairnbridge/proxy/TickClock.java
+++ b/src/main/java/cairnbridge/proxy/TickClock.java
@@ -3,17 +3,18 @@
 import cairnbridge.time.Ticks;
 
 /**
- * The clock of all deadlines: Unix time in ticks when it was made, and from then on advanced only
- * by the monotonic clock. For any thread. Tests override {@link #now} and {@link #nanosUntil}.
+ * The clock of all deadlines. It starts at the Unix time of its creation, in ticks, and advances
+ * only with the monotonic clock, so that changes of the system time do not affect it. Thread-safe.
+ * Tests override {@link #now} and {@link #nanosUntil}.
  */
 class TickClock {
-    /** As {@link Ticks#MILLISECOND}, for classes that do not use it yet. */
+    /** Same as {@link Ticks#MILLISECOND}, for the classes that still use this constant. */
     static final long TICKS_PER_MILLI = Ticks.MILLISECOND;
 
-    /** As {@link Ticks#SECOND}, for classes that do not use it yet. */
+    /** Same as {@link Ticks#SECOND}, for the classes that still use this constant. */
     static final long TICKS_PER_SECOND = Ticks.SECOND;
 
-    /** The nanoseconds of a tick. */
+    /** The number of nanoseconds in a tick. */
     static final long NANOS_PER_TICK = 1_000_000 / Ticks.MILLISECOND;
 
     private final long startTicks = fromUnixMillis(System.currentTimeMillis());
@@ -24,12 +25,12 @@
         return startTicks + (System.nanoTime() - startNanos) / NANOS_PER_TICK;
     }
 
-    /** The nanoseconds until a time in ticks has surely come; not positive if it has. */
+    /** The nanoseconds until the clock has reached a time in ticks; 0 or less if it has. */
     long nanosUntil(long dueTicks) {
         return (dueTicks - startTicks) * NANOS_PER_TICK - (System.nanoTime() - startNanos);
     }
 
-    /** The time on such clocks of a Unix time in milliseconds; 0 stays 0, long ago. */
+    /** Converts a Unix time in milliseconds to ticks; 0 stays 0, which means long ago. */
     static long fromUnixMillis(long millis) {
         return Ticks.fromMillis(millis);
     }
--- a/src/main/java/cairnbridge/proxy/TimerQueue.java
+++ b/src/main/java/cairnbridge/proxy/TimerQueue.java
@@ -5,21 +5,21 @@
 import java.util.PriorityQueue;
 
 /**
- * The timers of the owner thread, ordered by their time, then by the order in which they were
- * scheduled. A timer is not cancelled: its target may be over when it is due. For the owner thread;
- * all times are ticks.
+ * The timers of the coordinator, ordered by due time, then by the order in which they were
+ * scheduled. Timers cannot be cancelled: the request or attempt may have ended when its timer is
+ * due. Used only by the coordinator thread; all times are ticks.
  */
 final class TimerQueue {
-    /** What a timer is for. */
+    /** The purpose of a timer, which determines the action when it is due. */
     sealed interface TimerTarget {}
 
-    /** The router has asked for a timer. */
+    /** A timer that the router has started. */
     record RouterTimer(TimerId timer) implements TimerTarget {}
 
-    /** An attempt must have ended. */
+    /** The time by which an attempt must have ended. */
     record AttemptTimeout(UpstreamAttempt attempt) implements TimerTarget {}
 
-    /** A request must have been answered. */
+    /** The time by which a request must have been answered. */
     record RequestDeadline(RequestId request) implements TimerTarget {}
 
     private record Timer(long dueTicks, long sequence, TimerTarget target)
@@ -35,17 +35,17 @@
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
     private long lastSequence;
 
-    /** Schedules a timer of the router. */
+    /** Schedules a timer that the router has started. */
     void scheduleRouterTimer(long dueTicks, TimerId timer) {
         schedule(dueTicks, new RouterTimer(timer));
     }
 
-    /** Schedules the time by which an attempt must have ended. */
+    /** Schedules the timeout of an attempt. */
     void scheduleAttemptTimeout(long dueTicks, UpstreamAttempt attempt) {
         schedule(dueTicks, new AttemptTimeout(attempt));
     }
 
-    /** Schedules the time by which a request must have been answered. */
+    /** Schedules the deadline of a request. */
     void scheduleRequestDeadline(long dueTicks, RequestId request) {
         schedule(dueTicks, new RequestDeadline(request));
     }
@@ -54,22 +54,22 @@
         timers.add(new Timer(dueTicks, ++lastSequence, target));
     }
 
-    /** Whether there is no timer. */
+    /** Whether no timer is scheduled. */
     boolean isEmpty() {
         return timers.isEmpty();
     }
 
-    /** When the next timer is due; there must be one. */
+    /** When the next timer is due; the queue must not be empty. */
     long nextDueTicks() {
         return timers.element().dueTicks();
     }
 
-    /** Whether a timer is due. */
+    /** Whether the next timer is due at this time. */
     boolean hasDue(long nowTicks) {
         return !timers.isEmpty() && nextDueTicks() <= nowTicks;
     }
 
-    /** Removes the next timer, of which there must be one, and returns its target. */
+    /** Removes the next timer and returns its target; the queue must not be empty. */
     TimerTarget removeNext() {
         return timers.remove().target();
     }
--- a/src/main/java/cairnbridge/proxy/UpstreamAttachment.java
+++ b/src/main/java/cairnbridge/proxy/UpstreamAttachment.java
@@ -4,7 +4,7 @@
 import org.apache.hc.core5.reactor.IOSession;
 import org.apache.hc.core5.reactor.ProtocolIOSession;
 
-/** Gives the reactor's events of a connection to a server to that connection. */
+/** Forwards the reactor's events for a connection to a server to its {@link UpstreamConnection}. */
 final class UpstreamAttachment implements ConnectionAttachment {
     private final UpstreamConnection connection;
 
--- a/src/main/java/cairnbridge/proxy/UpstreamAttempt.java
+++ b/src/main/java/cairnbridge/proxy/UpstreamAttempt.java
@@ -19,21 +19,27 @@
 import org.apache.hc.core5.http.nio.RequestChannel;
 import org.apache.hc.core5.http.protocol.HttpContext;
 
-/** One push on the wire: its request, its answer, and its one ending. */
+/**
+ * One attempt of a request at a node: sends the request, processes the response, and reports one
+ * outcome. It is sent and received on the reactor thread; the coordinator thread may abandon it.
+ */
 final class UpstreamAttempt extends UpstreamExchange {
     private static final Logger LOG = Logger.getLogger(UpstreamAttempt.class.getName());
     private static final int OK = 200;
 
     /**
-     * Guards against an answer of unknown length held back from its client while it comes in
-     * pieces.
+     * Guards against a chunked response that a node sends slowly, and that is held back from the
+     * client until it is complete: after this time since its head it is streamed.
      */
     private static final long STREAM_AFTER_TICKS = 100 * TickClock.TICKS_PER_MILLI;
 
-    /** HANDED: bytes may have gone out, so that from then on the op may have run. */
+    /** How far an attempt has got. */
     private enum Stage {
+        /** No byte of the request has been written. */
         WAITING,
+        /** Bytes may have been written, so the node may have executed the request. */
         SENDING,
+        /** The outcome is determined. */
         ENDED
     }
 
@@ -49,11 +55,11 @@
     private final ProxyMetrics metrics;
     private final AtomicReference<Stage> stage = new AtomicReference<>(Stage.WAITING);
     private int statusCode;
-    private int storeNote;
+    private int cacheStatus;
     private boolean neverRan;
     private BufferedBody bufferedResponse;
 
-    /** The answer passes through; null while it is gathered. */
+    /** The response body if it is streamed; null while it is buffered. */
     private BodyPipe responsePipe;
 
     private boolean lengthUnknown;
@@ -62,111 +68,125 @@
     private long receivedBytes;
     private volatile long writtenAtTicks;
 
-    /** latestBegin: its last byte leaves before that, or not at all. */
+    /**
+     * Creates an attempt that is not sent yet.
+     *
+     * @param attemptNumber the attempts of a request are numbered from 0
+     * @param deadlineTicks the deadline of the request
+     * @param latestStartTicks the attempt fails as not sent unless its last byte is written before
+     *     this time
+     */
     UpstreamAttempt(
-            ClientExchange client,
+            ClientExchange exchange,
             NodeId node,
-            int number,
-            long expires,
-            long latestBegin,
-            EventQueue inbox,
+            int attemptNumber,
+            long deadlineTicks,
+            long latestStartTicks,
+            EventQueue eventQueue,
             TickClock clock,
-            ProxyMetrics figures) {
-        this.metrics = figures;
-        this.exchange = client;
-        this.requestBody = client.requestBody;
+            ProxyMetrics metrics) {
+        this.metrics = metrics;
+        this.exchange = exchange;
+        this.requestBody = exchange.requestBody;
         this.node = node;
-        this.attemptNumber = number;
-        this.deadlineTicks = expires;
-        this.eventQueue = inbox;
+        this.attemptNumber = attemptNumber;
+        this.deadlineTicks = deadlineTicks;
+        this.eventQueue = eventQueue;
         this.clock = clock;
         startedAtTicks = clock.now();
-        sendPermit = client.sendPermit.forAttempt(latestBegin);
+        sendPermit = exchange.sendPermit.forAttempt(latestStartTicks);
     }
 
     /**
-     * Gives the push up: its ending, or null where it had ended. The caller closes the connection.
+     * Abandons the attempt unless it has ended. The caller closes the connection and reports the
+     * outcome.
+     *
+     * @return the outcome to report, which is CONNECT_FAILED in place of TIMED_OUT if nothing was
+     *     sent; null if the attempt had ended
      */
-    AttemptOutcome abandon(AttemptOutcome ending) {
+    AttemptOutcome abandon(AttemptOutcome outcome) {
         Stage before = stage.getAndSet(Stage.ENDED);
         if (before == Stage.ENDED) {
             return null;
         }
         abandoned = true;
-        return before == Stage.WAITING && ending == AttemptOutcome.TIMED_OUT
+        return before == Stage.WAITING && outcome == AttemptOutcome.TIMED_OUT
                 ? AttemptOutcome.CONNECT_FAILED
-                : ending;
+                : outcome;
     }
 
+    /** Whether the attempt has not ended. */
     boolean isOpen() {
         return stage.get() != Stage.ENDED;
     }
 
-    /** The owner has given it up, whatever still comes of it. */
+    /** Whether the coordinator has abandoned the attempt. */
     boolean isAbandoned() {
         return abandoned;
     }
 
-    /** Not a byte has gone out, and none has been promised to. */
+    /** Whether the attempt is open and no byte of its request has been written. */
     boolean isWaiting() {
         return stage.get() == Stage.WAITING;
     }
 
-    private void completeOnce(AttemptOutcome ending, byte[] body) {
+    private void completeOnce(AttemptOutcome outcome, byte[] body) {
         if (stage.getAndSet(Stage.ENDED) != Stage.ENDED) {
-            postCompleted(ending, body);
+            postCompleted(outcome, body);
         }
     }
 
-    private void postCompleted(AttemptOutcome ending, byte[] body) {
+    private void postCompleted(AttemptOutcome outcome, byte[] body) {
         eventQueue.post(
-                new ProxyEvent.AttemptCompleted(this, ending, storeNote, body, clock.now()));
+                new ProxyEvent.AttemptCompleted(this, outcome, cacheStatus, body, clock.now()));
     }
 
     @Override
     public void produceRequest(RequestChannel channel, HttpContext context)
             throws HttpException, IOException {
         if (!isWaiting()) {
-            throw new IOException("push given up");
+            throw new IOException("attempt was abandoned");
         }
         throwIfRejected(sendPermit.rejection(clock.now()));
         startRequest();
         if (!stage.compareAndSet(Stage.WAITING, Stage.SENDING)) {
-            throw new IOException("push given up");
+            throw new IOException("attempt was abandoned");
         }
         BasicHttpRequest request = new BasicHttpRequest(exchange.method, exchange.target);
         request.addHeader("Host", connection.address.getHostString());
         request.addHeader(ClientExchange.TRACE_ID_HEADER, exchange.traceId);
-        long left = Math.max(1, deadlineTicks - clock.now());
+        long remainingTicks = Math.max(1, deadlineTicks - clock.now());
         request.addHeader(
-                ClientExchange.TTL_HEADER, left * (1000 / TickClock.TICKS_PER_MILLI) + "u");
+                ClientExchange.TTL_HEADER,
+                remainingTicks * (1000 / TickClock.TICKS_PER_MILLI) + "u");
         if (exchange.idempotencyKey != null) {
             request.addHeader(ClientExchange.IDEMPOTENCY_KEY_HEADER, exchange.idempotencyKey);
         }
         if (exchange.requestPipe != null) {
-            // Guards against two pushes that share out one body between them.
+            // Guards against two attempts that each send a part of one streamed body.
             if (!exchange.requestPipe.tryClaim()) {
                 completeOnce(AttemptOutcome.NOT_SENT, null);
-                throw new IOException("the body is on its way elsewhere");
+                throw new IOException("another attempt is sending the request body");
             }
             eventQueue.post(new ProxyEvent.RequestBodyClaimed(this));
         }
-        MessageBody rest =
+        MessageBody body =
                 exchange.requestPipe != null
                         ? exchange.requestPipe
                         : new ByteArrayBody(requestBody);
-        setBody(rest);
-        EntityDetails entity = rest.entityDetails();
+        setBody(body);
+        EntityDetails entity = body.entityDetails();
         channel.sendRequest(request, entity, context);
-        // Guards against a push with a body counted twice: by now its body may have been written.
+        // Guards against counting an attempt with a body twice: sendRequest may have written the
+        // whole body, and requestWritten has then been called.
         if (entity == null) {
             requestWritten();
         }
     }
 
     /**
-     * Guards against a last byte that leaves late: a node begins with it, however early the first
-     * one left.
+     * Guards against a last byte that is sent too late: a node starts to execute the request when
+     * it receives the last byte, however early the first one was sent.
      */
     @Override
     public void produce(DataStreamChannel out) throws IOException {
@@ -176,14 +196,17 @@
         super.produce(out);
     }
 
-    /** Ends as never sent, which is proven: its last byte has not left, and the connection ends. */
-    private void throwIfRejected(AttemptRejection why) throws IOException {
-        if (why != null) {
+    /**
+     * Fails the attempt as not sent if there is a reason. The node cannot have executed the
+     * request: its last byte was not written, and the exception closes the connection.
+     */
+    private void throwIfRejected(AttemptRejection reason) throws IOException {
+        if (reason != null) {
             if (isOpen()) {
-                metrics.attemptRejected(why);
+                metrics.attemptRejected(reason);
             }
             completeOnce(AttemptOutcome.NOT_SENT, null);
-            throw new IOException("attempt refused, " + why);
+            throw new IOException("attempt rejected: " + reason);
         }
     }
 
@@ -193,33 +216,36 @@
         metrics.attemptSent();
     }
 
-    /** The whole request has gone out, so that the connection can carry another. */
+    /** Whether the whole request has been written; if not, its connection cannot be reused. */
     boolean isWritten() {
         return writtenAtTicks > 0;
     }
 
     /**
-     * How long the node took; what passes through counts from its last byte written or to its first
-     * read.
+     * How long the node took. A streamed request counts from its last byte, so that the speed of
+     * the client does not matter, and as 0 if that was never written; a streamed response counts
+     * until its head was received.
+     *
+     * @param endedAtTicks the end of the attempt, or the present time
      */
-    long durationTicks(long ended) {
+    long durationTicks(long endedAtTicks) {
         long from =
                 exchange.requestPipe == null
                         ? startedAtTicks
-                        : writtenAtTicks > 0 ? writtenAtTicks : ended;
-        return Math.max(0, (responsePipe == null ? ended : headReceivedAtTicks) - from);
+                        : writtenAtTicks > 0 ? writtenAtTicks : endedAtTicks;
+        return Math.max(0, (responsePipe == null ? endedAtTicks : headReceivedAtTicks) - from);
     }
 
     @Override
     public void consumeResponse(HttpResponse response, EntityDetails entity, HttpContext context) {
         statusCode = response.getCode();
-        Header proof = response.getFirstHeader("X-Never-Ran");
-        neverRan = proof != null && proof.getValue().equals("1");
-        Header store = response.getFirstHeader("X-Store");
-        storeNote =
-                store == null
+        Header neverRanHeader = response.getFirstHeader("X-Never-Ran");
+        neverRan = neverRanHeader != null && neverRanHeader.getValue().equals("1");
+        Header storeHeader = response.getFirstHeader("X-Store");
+        cacheStatus =
+                storeHeader == null
                         ? 0
-                        : switch (store.getValue()) {
+                        : switch (storeHeader.getValue()) {
                             case "hit" -> 1;
                             case "miss" -> 2;
                             case "pending" -> 3;
@@ -239,13 +265,13 @@
     public void consume(ByteBuffer src) throws IOException {
         receivedBytes += src.remaining();
         if (receivedBytes > MessageFraming.MAX_BODY_BYTES) {
-            throw new IOException("answer is too long");
+            throw new IOException("response body is too long");
         } else if (statusCode != OK) {
-            src.position(src.limit()); // What says no more than its status is not kept.
+            src.position(src.limit()); // The body of an error response is not used.
             return;
         }
-        boolean late = lengthUnknown && clock.now() - headReceivedAtTicks >= STREAM_AFTER_TICKS;
-        if (responsePipe == null && (late || !bufferedResponse.tryAppend(src))) {
+        boolean slow = lengthUnknown && clock.now() - headReceivedAtTicks >= STREAM_AFTER_TICKS;
+        if (responsePipe == null && (slow || !bufferedResponse.tryAppend(src))) {
             startStreaming(-1);
         }
         if (responsePipe != null) {
@@ -253,7 +279,7 @@
         }
     }
 
-    /** From now on the answer passes through, with what has been gathered of it ahead. */
+    /** Switches from buffering the response to streaming it, first the bytes buffered so far. */
     private void startStreaming(long length) {
         responsePipe = exchange.createPipe(length);
         responsePipe.append(ByteBuffer.wrap(bufferedResponse.toByteArray()));
@@ -301,10 +327,10 @@
     @Override
     public void failed(Exception cause) {
         if (responsePipe != null && isOpen()) {
-            LOG.info("an answer that passed through broke off at the node: " + cause);
+            LOG.info("upstream: streamed response aborted by the node: " + cause);
         }
-        // Guards against a kept connection that the node has closed: not a byte of the push has
-        // gone out.
+        // Guards against failing an attempt because its pooled connection was stale: no byte of the
+        // request was written, so it can be sent on another connection.
         if (connection.reused && isWaiting()) {
             eventQueue.post(new ProxyEvent.PooledConnectionFailed(this));
             return;
--- a/src/main/java/cairnbridge/proxy/UpstreamConnection.java
+++ b/src/main/java/cairnbridge/proxy/UpstreamConnection.java
@@ -15,7 +15,8 @@
 import org.apache.hc.core5.util.Timeout;
 
 /**
- * One connection that the proxy opens, from the dial to its end; carries one exchange at a time.
+ * A connection that the proxy opens to a server, from the connect to the close. It carries one
+ * exchange at a time.
  */
 final class UpstreamConnection implements FutureCallback<IOSession> {
     final InetSocketAddress address;
@@ -27,93 +28,104 @@
     private volatile Future<IOSession> pendingConnect;
     private volatile boolean closeRequested;
 
-    /** Reactor thread only: a request is out and its answer has not come to its end. */
+    /** Whether a request was sent and its response is incomplete. Used by the reactor thread. */
     private boolean awaitingResponse;
 
+    /** Used only by the reactor thread; null until a request is sent. */
     private UpstreamExchange latestExchange;
 
-    /** Owner thread only: whose it is, where it is pooled, and since when nothing is out on it. */
+    /** The node that the connection is pooled for. Used only by the coordinator thread. */
     NodeId node;
 
+    /** Whether the connection was taken from the pool. Written only by the coordinator thread. */
     boolean reused;
+
+    /** When the connection was last put into the pool. Used only by the coordinator thread. */
     long idleSinceTicks;
 
     /**
-     * first is sent as soon as the connection is up, and told of its failure where it never comes
-     * up.
+     * Creates a connection that is not established yet.
+     *
+     * @param socketTimeout how long the server may be silent before the connection fails
+     * @param firstExchange is sent once the connection is established, and fails if it never is
      */
     UpstreamConnection(
             InetSocketAddress address,
-            ConnectionReactor sockets,
-            Timeout silence,
-            UpstreamExchange first) {
+            ConnectionReactor reactor,
+            Timeout socketTimeout,
+            UpstreamExchange firstExchange) {
         this.address = address;
-        this.reactor = sockets;
-        this.socketTimeout = silence;
-        this.firstExchange = first;
-        first.connection = this;
+        this.reactor = reactor;
+        this.socketTimeout = socketTimeout;
+        this.firstExchange = firstExchange;
+        firstExchange.connection = this;
     }
 
+    /** Sets the connect that is in progress, which {@link #close} cancels. */
     void setPendingConnect(Future<IOSession> future) {
         pendingConnect = future;
     }
 
+    /** Whether the connection is established and neither side has closed it. */
     boolean isOpen() {
-        IOSession up = session;
-        return !closeRequested && up != null && up.isOpen();
+        IOSession current = session;
+        return !closeRequested && current != null && current.isOpen();
     }
 
     /**
-     * Guards against a connection that the node has closed, or on which it has said more than was
-     * asked.
+     * Guards against a request on a stale connection: one that the server has closed, or on which
+     * it has sent bytes after the end of a response.
      */
-    void startRequest(UpstreamExchange call) throws IOException {
+    void startRequest(UpstreamExchange exchange) throws IOException {
         if (session.read(ByteBuffer.allocate(1)) != 0) {
             throw new IOException("connection is stale");
         }
         awaitingResponse = true;
-        latestExchange = call;
+        latestExchange = exchange;
     }
 
-    /** The call whose answer is being read, or was last. */
+    /** The exchange whose request was sent last on this connection; null if there was none. */
     UpstreamExchange latestExchange() {
         return latestExchange;
     }
 
+    /** Records that the response has been read completely; called on the reactor thread. */
     void completeResponse() {
         awaitingResponse = false;
     }
 
+    /** Whether a request was sent and its response is incomplete; for the reactor thread. */
     boolean isAwaitingResponse() {
         return awaitingResponse;
     }
 
-    void send(UpstreamExchange call) {
-        call.connection = this;
+    /** Sends an exchange on the connection, which must be established and idle. */
+    void send(UpstreamExchange exchange) {
+        exchange.connection = this;
         session.enqueue(
-                new RequestExecutionCommand(call, HttpCoreContext.create()),
+                new RequestExecutionCommand(exchange, HttpCoreContext.create()),
                 Command.Priority.NORMAL);
     }
 
-    /** Closes at once; a dial still under way is given up. */
+    /** Closes the connection at once, or cancels the connect if it is still in progress. */
     void close() {
         closeRequested = true;
-        IOSession up = session;
-        Future<IOSession> dialing = pendingConnect;
-        if (up != null) {
-            up.close(CloseMode.IMMEDIATE);
-        } else if (dialing != null) {
-            dialing.cancel(true);
+        IOSession current = session;
+        Future<IOSession> connect = pendingConnect;
+        if (current != null) {
+            current.close(CloseMode.IMMEDIATE);
+        } else if (connect != null) {
+            connect.cancel(true);
         }
     }
 
     @Override
-    public void completed(IOSession up) {
-        session = up;
-        up.setSocketTimeout(socketTimeout);
+    public void completed(IOSession established) {
+        session = established;
+        established.setSocketTimeout(socketTimeout);
         if (closeRequested) {
-            firstExchange.failed(new IOException("no longer wanted"));
-            up.close(CloseMode.IMMEDIATE);
+            firstExchange.failed(new IOException("closed while connecting"));
+            established.close(CloseMode.IMMEDIATE);
         } else {
             send(firstExchange);
         }
@@ -127,10 +139,10 @@
 
     @Override
     public void cancelled() {
-        failed(new IOException("dial given up"));
+        failed(new IOException("connect was cancelled"));
     }
 
-    /** The socket is gone, whichever side closed it. */
+    /** Notifies the reactor once that the socket is closed, by either side. */
     void handleClosed() {
         if (closed.compareAndSet(false, true)) {
             reactor.connectionClosed(this, session != null);
--- a/src/main/java/cairnbridge/proxy/UpstreamExchange.java
+++ b/src/main/java/cairnbridge/proxy/UpstreamExchange.java
@@ -8,28 +8,33 @@
 import org.apache.hc.core5.http.protocol.HttpContext;
 
 /**
- * What all requests that the proxy sends have alike: one body at most, and an answer read as it
- * comes.
+ * Base class of the requests that the proxy sends to servers. It writes the request body, if there
+ * is one, and keeps the state of the connection up to date. Subclasses process the response.
  */
 abstract class UpstreamExchange implements AsyncClientExchangeHandler {
     private static final int WINDOW_BYTES = BufferedBody.MAX_BYTES;
     private MessageBody outgoingBody = new ByteArrayBody(null);
 
-    /** Set before anything is sent on it; null as long as there is none. */
+    /** The connection that carries the request, set before anything is sent; null until then. */
     volatile UpstreamConnection connection;
 
-    /** On the reactor, as its bytes go out: from now on an answer is waited for. */
+    /**
+     * Marks the connection as awaiting a response. Called on the reactor thread just before the
+     * request is written.
+     *
+     * @throws IOException if the connection is stale
+     */
     void startRequest() throws IOException {
         connection.startRequest(this);
     }
 
-    /** On the reactor: the answer has come to its end. */
+    /** Marks the response as complete; called on the reactor thread. */
     void completeResponse() {
         connection.completeResponse();
     }
 
-    void setBody(MessageBody bytes) {
-        outgoingBody = bytes;
+    void setBody(MessageBody body) {
+        outgoingBody = body;
     }
 
     @Override
@@ -44,14 +49,14 @@
         }
     }
 
-    /** How much has come of an answer that passes through and may come faster; else under 0. */
+    /** The bytes received of a streamed response if more may be read now; else less than 0. */
     long streamedBytesIfReadable() {
         return -1;
     }
 
-    /** The request has been handed over to its last byte. */
+    /** Called once the last byte of the request has been passed to the connection. */
     void requestWritten() {
-        // Most need not know.
+        // Only attempts need this notification.
     }
 
     @Override
@@ -61,7 +66,7 @@
 
     @Override
     public void consumeInformation(HttpResponse response, HttpContext context) {
-        // A 1xx answer is not the answer.
+        // A 1xx response is interim: the final response follows.
     }
 
     @Override
@@ -71,6 +76,6 @@
 
     @Override
     public void releaseResources() {
-        // All state goes with the object.
+        // An exchange holds no resources besides memory.
     }
 }
--- a/src/main/java/cairnbridge/proxy/UpstreamIoHandler.java
+++ b/src/main/java/cairnbridge/proxy/UpstreamIoHandler.java
@@ -10,7 +10,7 @@
 import org.apache.hc.core5.reactor.ProtocolIOSession;
 
 /**
- * Handles the I/O events of one connection to a server. The library calls it on the reactor's
+ * Handles the I/O events of one connection to a server. The HTTP library calls it on the reactor
  * thread.
  */
 final class UpstreamIoHandler extends ClientHttp1IOEventHandler {
@@ -18,7 +18,7 @@
 
     private final UpstreamConnection connection;
 
-    /** The handler of a connection that has just come up. */
+    /** Creates the handler of a connection that has just been established. */
     UpstreamIoHandler(ProtocolIOSession session, UpstreamConnection connection) {
         super(createDuplexer(session, connection));
         this.connection = connection;
@@ -47,7 +47,9 @@
             ReadLoop.readWhileProgressing(
                     () -> super.inputReady(session, null), this::streamedBytesIfReadable);
         } else {
-            // Guards against bytes on an idle connection; its end comes this way, too.
+            // Guards against bytes from the server on an idle connection, which no request asked
+            // for.
+            // This method is also called when the server closes an idle connection.
             session.close(CloseMode.IMMEDIATE);
         }
     }
--- a/src/main/java/cairnbridge/proxy/UpstreamPool.java
+++ b/src/main/java/cairnbridge/proxy/UpstreamPool.java
@@ -13,17 +13,18 @@
 import java.util.Set;
 
 /**
- * Carries pushes to the nodes: the addresses, and a pool of kept connections for each. Owner thread
- * only.
+ * The connections to the nodes: sends attempts on idle or new connections, and keeps the idle ones
+ * of each node for reuse. Used only by the coordinator thread.
  */
 final class UpstreamPool {
     /**
-     * A node closes an idle connection at its limit; ours goes before that, with this part of it
-     * passed.
+     * The proxy closes an idle connection after this share of the nodes' idle timeout, so that the
+     * node does not close it first.
      */
     private static final double IDLE_LIMIT_FACTOR = 0.7;
 
-    private static final double SWEEP_FACTOR = 0.1;
+    /** Sweeps for idle connections are this share of the proxy's own idle timeout apart. */
+    private static final double SWEEP_INTERVAL_FACTOR = 0.1;
 
     private final ConnectionReactor reactor;
     private final long connectTimeoutTicks;
@@ -32,112 +33,131 @@
     private final Map<NodeId, InetSocketAddress> addresses = new HashMap<>();
     private final Set<NodeId> nodesInMaintenance = new HashSet<>();
 
-    UpstreamPool(ConnectionReactor sockets, long dialTimeOut, long idleLimit) {
-        this.reactor = sockets;
-        this.connectTimeoutTicks = dialTimeOut;
-        this.idleLimitTicks = (long) (idleLimit * IDLE_LIMIT_FACTOR);
+    /**
+     * Creates a pool without nodes and connections.
+     *
+     * @param nodeIdleTimeoutTicks after this time the nodes close idle connections
+     */
+    UpstreamPool(ConnectionReactor reactor, long connectTimeoutTicks, long nodeIdleTimeoutTicks) {
+        this.reactor = reactor;
+        this.connectTimeoutTicks = connectTimeoutTicks;
+        this.idleLimitTicks = (long) (nodeIdleTimeoutTicks * IDLE_LIMIT_FACTOR);
     }
 
     /**
-     * Learns where the nodes are. Kept connections to a node that is no longer ready, or not named,
-     * go.
+     * Updates the addresses of the nodes. Closes the idle connections to nodes that are not ready
+     * or not in the list any more.
      */
     void endpointListChanged(
-            Event.EndpointListReceived roster, Map<NodeId, InetSocketAddress> fresh) {
-        // Guards against a list that has lost its contents: as in the module, what is held stays in
-        // use.
-        if (!fresh.isEmpty()
-                && (roster.scope() == ListScope.CACHED || roster.scope() == ListScope.FULL)) {
+            Event.EndpointListReceived list, Map<NodeId, InetSocketAddress> newAddresses) {
+        // Guards against an endpoint list that is empty by mistake: like the router, the pool keeps
+        // the nodes that it has.
+        if (!newAddresses.isEmpty()
+                && (list.scope() == ListScope.CACHED || list.scope() == ListScope.FULL)) {
             addresses.clear();
         }
-        addresses.putAll(fresh);
-        for (Endpoint entry : roster.endpoints()) {
-            if (entry.state() != NodeState.READY) {
-                addresses.remove(entry.node());
+        addresses.putAll(newAddresses);
+        for (Endpoint endpoint : list.endpoints()) {
+            if (endpoint.state() != NodeState.READY) {
+                addresses.remove(endpoint.node());
             }
         }
-        closeUnlisted();
+        closeUnusable();
     }
 
-    /** To a node that is taken out no connection is opened, and none is kept. */
-    void setMaintenance(NodeId node, boolean on) {
-        if (on) {
+    /** Puts a node into maintenance, in which it gets no connections, or takes it out. */
+    void setMaintenance(NodeId node, boolean enabled) {
+        if (enabled) {
             nodesInMaintenance.add(node);
         } else {
             nodesInMaintenance.remove(node);
         }
-        closeUnlisted();
+        closeUnusable();
     }
 
-    private void closeUnlisted() {
+    private void closeUnusable() {
         idleConnections
                 .entrySet()
                 .removeIf(
-                        each -> {
-                            // Guards against a successor at the address of a node that is gone:
-                            // pools go by node.
-                            each.getValue()
+                        entry -> {
+                            // Guards against reusing the connections of a removed node for a new
+                            // node at the same address: they are pooled by node id.
+                            entry.getValue()
                                     .removeIf(
-                                            kept -> {
-                                                boolean goes = !isListed(kept);
-                                                if (goes) {
-                                                    kept.close();
+                                            connection -> {
+                                                boolean unusable = !isUsable(connection);
+                                                if (unusable) {
+                                                    connection.close();
                                                 }
-                                                return goes;
+                                                return unusable;
                                             });
-                            return each.getValue().isEmpty();
+                            return entry.getValue().isEmpty();
                         });
     }
 
-    private boolean isListed(UpstreamConnection connection) {
+    /** Whether the connection leads to the present address of a node not in maintenance. */
+    private boolean isUsable(UpstreamConnection connection) {
         return connection.address.equals(addresses.get(connection.node))
                 && !nodesInMaintenance.contains(connection.node);
     }
 
+    /** The address of a node that is listed as ready; null for any other. */
     InetSocketAddress addressOf(NodeId node) {
         return addresses.get(node);
     }
 
     /**
-     * Whether anything new may go to a node: the list names it as ready, and staff have not taken
-     * it out.
+     * Whether new requests may be sent to a node: the endpoint list has it as ready, and it is not
+     * in maintenance.
      */
     boolean isAvailable(NodeId node) {
         return addresses.containsKey(node) && !nodesInMaintenance.contains(node);
     }
 
-    /** Sends a push over a kept connection or a new one; false where there is none to be had. */
-    boolean trySend(UpstreamAttempt call) {
-        if (!isAvailable(call.node)) {
+    /**
+     * Sends an attempt on an idle connection or on a new one, which it opens.
+     *
+     * @return false if the node is not available, or no descriptor is left for a connection
+     */
+    boolean trySend(UpstreamAttempt attempt) {
+        if (!isAvailable(attempt.node)) {
             return false;
         }
-        ArrayDeque<UpstreamConnection> kept = idleConnections.get(call.node);
-        // The one used last is the least likely to be closed by the node.
-        for (UpstreamConnection c = kept == null ? null : kept.pollLast();
+        ArrayDeque<UpstreamConnection> idle = idleConnections.get(attempt.node);
+        // The connection used last is the least likely to have been closed by the node.
+        for (UpstreamConnection c = idle == null ? null : idle.pollLast();
                 c != null;
-                c = kept.pollLast()) {
+                c = idle.pollLast()) {
             if (c.isOpen()) {
                 c.reused = true;
-                c.send(call);
+                c.send(attempt);
                 return true;
             }
         }
-        // Guards against idle clients that hold all but what is reserved for this: nothing of ours
-        // can go.
+        // Guards against failing attempts while idle clients fill the descriptor budget: if the
+        // pool has no idle connection to close, a new one may use the descriptors that clients
+        // never get.
         if (reactor.isUpstreamFull() && !closeOldestIdle() && reactor.isExhausted()) {
             return false;
         }
-        reactor.connect(addresses.get(call.node), connectTimeoutTicks, call).node = call.node;
+        reactor.connect(addresses.get(attempt.node), connectTimeoutTicks, attempt).node =
+                attempt.node;
         return true;
     }
 
-    /** The push is over: its connection is kept if the exchange left it whole. */
-    void release(UpstreamAttempt call, boolean whole, long now) {
-        UpstreamConnection connection = call.connection;
+    /**
+     * Puts the connection of an attempt that has ended into the pool, or closes it if it cannot be
+     * reused.
+     *
+     * @param responseComplete whether the response was read to its end
+     * @param now the present time in ticks
+     */
+    void release(UpstreamAttempt attempt, boolean responseComplete, long now) {
+        UpstreamConnection connection = attempt.connection;
         if (connection == null) {
             return;
         }
-        if (!whole || !call.isWritten() || !isListed(connection)) {
+        if (!responseComplete || !attempt.isWritten() || !isUsable(connection)) {
             connection.close();
         } else if (connection.isOpen()) {
             connection.idleSinceTicks = now;
@@ -147,41 +167,44 @@
         }
     }
 
+    /** Removes a connection that was closed from the pool. */
     void connectionClosed(UpstreamConnection connection) {
-        ArrayDeque<UpstreamConnection> kept = idleConnections.get(connection.node);
-        if (kept != null && kept.remove(connection) && kept.isEmpty()) {
+        ArrayDeque<UpstreamConnection> idle = idleConnections.get(connection.node);
+        if (idle != null && idle.remove(connection) && idle.isEmpty()) {
             idleConnections.remove(connection.node);
         }
     }
 
-    /** How often idle connections must be looked at, to be gone in time. */
+    /** The longest interval between calls of {@link #closeExpired}, in ticks. */
     long sweepIntervalTicks() {
-        return Math.max(1, (long) (idleLimitTicks * SWEEP_FACTOR));
+        return Math.max(1, (long) (idleLimitTicks * SWEEP_INTERVAL_FACTOR));
     }
 
     /**
-     * Guards against a push written to a connection that the node is just closing: ours go first.
+     * Guards against a request written to a connection that the node is closing at that moment: the
+     * proxy closes a connection that has been idle for long before the node does.
      */
     void closeExpired(long now) {
-        for (ArrayDeque<UpstreamConnection> kept : idleConnections.values()) {
-            while (!kept.isEmpty() && now - kept.peekFirst().idleSinceTicks >= idleLimitTicks) {
-                kept.pollFirst().close();
+        for (ArrayDeque<UpstreamConnection> idle : idleConnections.values()) {
+            while (!idle.isEmpty() && now - idle.peekFirst().idleSinceTicks >= idleLimitTicks) {
+                idle.pollFirst().close();
             }
         }
     }
 
     /**
-     * Of the kept connections the one idle longest makes room for another; false where none is
-     * idle.
+     * Closes the connection that has been idle longest, to free a descriptor.
+     *
+     * @return false if no connection is idle
      */
     boolean closeOldestIdle() {
         ArrayDeque<UpstreamConnection> oldest = null;
-        for (ArrayDeque<UpstreamConnection> kept : idleConnections.values()) {
-            if (!kept.isEmpty()
+        for (ArrayDeque<UpstreamConnection> idle : idleConnections.values()) {
+            if (!idle.isEmpty()
                     && (oldest == null
-                            || kept.peekFirst().idleSinceTicks
+                            || idle.peekFirst().idleSinceTicks
                                     < oldest.peekFirst().idleSinceTicks)) {
-                oldest = kept;
+                oldest = idle;
             }
         }
         if (oldest != null) {
