--- a/src/main/java/cairnbridge/proxy/ActiveRequest.java
+++ b/src/main/java/cairnbridge/proxy/ActiveRequest.java
@@ -40,7 +40,7 @@
         return deadlineTicks;
     }
 
-    /** Changes the deadline. */
+    /** Sets a new deadline, when a streamed body is complete or the proxy shuts down. */
     void setDeadline(long ticks) {
         deadlineTicks = ticks;
     }
@@ -50,7 +50,7 @@
         return attempts;
     }
 
-    /** Adds an attempt that has just started. */
+    /** Adds an attempt, which counts as open until {@link #attemptEnded} is called for it. */
     void attemptStarted(UpstreamAttempt attempt) {
         attempts.add(attempt);
         openAttempts++;
@@ -61,7 +61,7 @@
         openAttempts--;
     }
 
-    /** Whether any attempt has not ended yet. */
+    /** Whether at least one attempt is still open. */
     boolean hasOpenAttempts() {
         return openAttempts > 0;
     }
--- a/src/main/java/cairnbridge/proxy/AttemptEventHandler.java
+++ b/src/main/java/cairnbridge/proxy/AttemptEventHandler.java
@@ -37,7 +37,7 @@
         this.clock = context.clock();
     }
 
-    /** Handles one event of an attempt. */
+    /** Calls the method that handles this kind of attempt event. */
     void handle(AttemptEvent event) {
         if (event instanceof AttemptCompleted completed) {
             handleAttemptCompleted(completed);
--- a/src/main/java/cairnbridge/proxy/AttemptListener.java
+++ b/src/main/java/cairnbridge/proxy/AttemptListener.java
@@ -3,8 +3,8 @@
 import cairnbridge.decision.Event.AttemptOutcome;
 
 /**
- * Receives the events of attempts. Called on the reactor thread, or on the coordinator thread if
- * that abandons an attempt.
+ * Receives the events of attempts. Called on the reactor thread, or on the coordinator thread if a
+ * connection fails while that thread opens or closes it.
  */
 interface AttemptListener {
     /**
--- a/src/main/java/cairnbridge/proxy/AttemptSender.java
+++ b/src/main/java/cairnbridge/proxy/AttemptSender.java
@@ -38,7 +38,7 @@
     /**
      * Starts an attempt of a request.
      *
-     * @param timeoutTicks the timeout of the attempt; 0 for none but the request's deadline
+     * @param timeoutTicks the timeout of the attempt; 0 if only the request's deadline applies
      * @param latestStartTicks the attempt fails as not sent unless its last byte is written before
      *     this time
      */
--- a/src/main/java/cairnbridge/proxy/ClientEventHandler.java
+++ b/src/main/java/cairnbridge/proxy/ClientEventHandler.java
@@ -39,7 +39,7 @@
         this.clock = context.clock();
     }
 
-    /** Handles one event of a client. */
+    /** Calls the method that handles this kind of client event. */
     void handle(ClientEvent event) {
         if (event instanceof RequestArrived arrived) {
             handleRequestArrived(arrived.exchange(), arrived.deadlineTicks());
--- a/src/main/java/cairnbridge/proxy/FleetEventHandler.java
+++ b/src/main/java/cairnbridge/proxy/FleetEventHandler.java
@@ -38,7 +38,7 @@
         this.clock = context.clock();
     }
 
-    /** Handles one event of the fleet or its nodes. */
+    /** Calls the method that handles this kind of fleet event. */
     void handle(FleetEvent event) {
         if (event instanceof EndpointListChanged changed) {
             handleEndpointListChanged(changed);
--- a/src/main/java/cairnbridge/proxy/HealthCheckListener.java
+++ b/src/main/java/cairnbridge/proxy/HealthCheckListener.java
@@ -5,6 +5,6 @@
 
 /** Receives the results of health checks; called on the reactor thread. */
 interface HealthCheckListener {
-    /** A health check of a node has ended, after this duration. */
+    /** Called when a health check of a node has ended. */
     void healthCheckCompleted(NodeId node, AttemptOutcome outcome, long durationTicks);
 }
--- a/src/main/java/cairnbridge/proxy/HttpSettings.java
+++ b/src/main/java/cairnbridge/proxy/HttpSettings.java
@@ -14,10 +14,10 @@
 public final class HttpSettings {
     private static final int BUFFER_BYTES = 4096;
 
-    /** Longest line of a message head; valid requests and responses have only shorter ones. */
+    /** The limit on one line of a message head; no valid message has a longer line. */
     private static final int MAX_HEAD_LINE_BYTES = 4096;
 
-    /** Most headers of a message head; valid requests and responses have no more. */
+    /** The limit on the headers of a message; no valid message has more. */
     private static final int MAX_HEADERS = 40;
 
     /** The buffer sizes and the limits on the head of a message. */
--- a/src/main/java/cairnbridge/proxy/Invariants.java
+++ b/src/main/java/cairnbridge/proxy/Invariants.java
@@ -14,9 +14,7 @@
     private static final Logger LOG = Logger.getLogger(Invariants.class.getName());
     private final Map<String, Integer> violations = new TreeMap<>();
 
-    /**
-     * Records a violation of the named invariant unless the condition holds; returns the latter.
-     */
+    /** Records a violation unless the condition holds; returns whether it holds. */
     boolean check(boolean holds, String invariant) {
         assert holds : invariant;
         if (!holds && violations.merge(invariant, 1, Integer::sum) == 1) {
--- a/src/main/java/cairnbridge/proxy/LoadListener.java
+++ b/src/main/java/cairnbridge/proxy/LoadListener.java
@@ -61,7 +61,7 @@
             long remainingTicks,
             long nowTicks);
 
-    /** Discovery has sent the endpoint list or changes of it, or could not be reached. */
+    /** Discovery has sent the endpoint list or changes to it, or could not be reached. */
     void endpointListChanged(Event.EndpointListReceived list);
 
     /** A health check of a node has ended. */
--- a/src/main/java/cairnbridge/proxy/ProxyEvent.java
+++ b/src/main/java/cairnbridge/proxy/ProxyEvent.java
@@ -70,7 +70,7 @@
     /** The descriptor budget is used up: an idle connection to a server should be closed. */
     record DescriptorBudgetExceeded() implements ConnectionEvent {}
 
-    /** Discovery has sent the endpoint list or changes of it, or could not be reached. */
+    /** Discovery has sent the endpoint list or changes to it, or could not be reached. */
     record EndpointListChanged(
             Event.EndpointListReceived list, Map<NodeId, InetSocketAddress> addresses)
             implements FleetEvent {}
@@ -99,7 +99,7 @@
     /** The fleet's membership view has changed. */
     record FleetChanged(FleetSnapshot snapshot) implements FleetEvent {}
 
-    /** Wakes the coordinator thread to poll an urgent event, which has a queue of its own. */
+    /** Wakes the coordinator thread to poll an urgent event, which is in a separate queue. */
     record QueueWakeup() implements ControlEvent {}
 
     /** The process shuts down: every request must be answered by this deadline. */
--- a/src/main/java/cairnbridge/proxy/RequestCompletion.java
+++ b/src/main/java/cairnbridge/proxy/RequestCompletion.java
@@ -35,7 +35,7 @@
         }
     }
 
-    /** Answers a request as failed that the router has left unanswered at its deadline. */
+    /** Fails a request that the router has left unanswered until its deadline. */
     void failUnanswered(ActiveRequest request) {
         request.exchange().failPermanently();
         dropRequest(request);
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Marks a request as answered, and notifies the router, which has not decided this. */
+    /** Marks a request as answered, and notifies the router that it was cancelled. */
     private void dropRequest(ActiveRequest request) {
         markAnswered(request);
         router.notifyRouter(clock.now(), new Event.RequestCancelled(request.id()));
--- a/src/main/java/cairnbridge/proxy/RequestContext.java
+++ b/src/main/java/cairnbridge/proxy/RequestContext.java
@@ -15,7 +15,7 @@
  * volatile, and the other fields do not change.
  */
 public final class RequestContext {
-    /** Guards against a request that is held in memory for an hour because its TTL says so. */
+    /** Guards against a TTL of an hour, which would hold a request in memory for an hour. */
     private static final long MAX_TTL_TICKS = 60 * Ticks.SECOND;
 
     private final TickClock clock;
--- a/src/main/java/cairnbridge/proxy/RequestCoordinator.java
+++ b/src/main/java/cairnbridge/proxy/RequestCoordinator.java
@@ -55,7 +55,7 @@
     /** The most events that are handled before timers are checked. */
     private static final int MAX_BATCH_EVENTS = 64;
 
-    /** The longest interval between two sweeps, see {@link #sweep}. */
+    /** The longest interval between two calls of {@link #sweep}. */
     private static final long MAX_SWEEP_INTERVAL_TICKS = Ticks.SECOND / 2;
 
     /** An idle coordinator wakes up this often, so that it detects a stall of the process. */
@@ -245,6 +245,7 @@
         }
     }
 
+    /** Closes expired connections, publishes the load, and advances the recovery. */
     private void sweep(long now) {
         upstreamPool.closeExpired(now);
         warmStartState = router.warmStartState();
--- a/src/main/java/cairnbridge/proxy/UpstreamAttempt.java
+++ b/src/main/java/cairnbridge/proxy/UpstreamAttempt.java
@@ -21,19 +21,20 @@
 
 /**
  * One attempt of a request at a node: sends the request, processes the response, and reports one
- * outcome. It is sent and received on the reactor thread; the coordinator thread may abandon it.
+ * outcome. The reactor thread writes the request and reads the response; the coordinator thread may
+ * abandon the attempt.
  */
 final class UpstreamAttempt extends UpstreamExchange {
     private static final Logger LOG = Logger.getLogger(UpstreamAttempt.class.getName());
     private static final int OK = 200;
 
     /**
-     * Guards against a chunked response that a node sends slowly, and that is held back from the
-     * client until it is complete: after this time since its head it is streamed.
+     * Guards against holding back a chunked response that a node sends slowly: if it is incomplete
+     * this long after its head, it is streamed to the client.
      */
     private static final long STREAM_AFTER_TICKS = 100 * TickClock.TICKS_PER_MILLI;
 
-    /** How far an attempt has got. */
+    /** The progress of an attempt. */
     private enum Stage {
         /** No byte of the request has been written. */
         WAITING,
--- a/src/main/java/cairnbridge/proxy/UpstreamConnection.java
+++ b/src/main/java/cairnbridge/proxy/UpstreamConnection.java
@@ -34,7 +34,7 @@
     /** Used only by the reactor thread; null until a request is sent. */
     private UpstreamExchange latestExchange;
 
-    /** The node that the connection is pooled for. Used only by the coordinator thread. */
+    /** The node to pool the connection for, else null. Used only by the coordinator thread. */
     NodeId node;
 
     /** Whether the connection was taken from the pool. Written only by the coordinator thread. */
@@ -142,7 +142,7 @@
         failed(new IOException("connect was cancelled"));
     }
 
-    /** Notifies the reactor once that the socket is closed, by either side. */
+    /** Tells the reactor that the socket is closed, whichever side closed it; does so only once. */
     void handleClosed() {
         if (closed.compareAndSet(false, true)) {
             reactor.connectionClosed(this, session != null);
--- a/src/main/java/cairnbridge/proxy/UpstreamIoHandler.java
+++ b/src/main/java/cairnbridge/proxy/UpstreamIoHandler.java
@@ -10,8 +10,8 @@
 import org.apache.hc.core5.reactor.ProtocolIOSession;
 
 /**
- * Handles the I/O events of one connection to a server. The HTTP library calls it on the reactor
- * thread.
+ * Handles the I/O events of one connection to a server: parses responses, and closes the connection
+ * if bytes arrive while no request is open. The HTTP library calls it on the reactor thread.
  */
 final class UpstreamIoHandler extends ClientHttp1IOEventHandler {
     private static final long NOT_READABLE = -1;
@@ -47,9 +47,8 @@
             ReadLoop.readWhileProgressing(
                     () -> super.inputReady(session, null), this::streamedBytesIfReadable);
         } else {
-            // Guards against bytes from the server on an idle connection, which no request asked
-            // for.
-            // This method is also called when the server closes an idle connection.
+            // Guards against unsolicited bytes on an idle connection, which the next request would
+            // read as its response. The end of the stream is reported here as well.
             session.close(CloseMode.IMMEDIATE);
         }
     }
--- a/src/main/java/cairnbridge/proxy/UpstreamPool.java
+++ b/src/main/java/cairnbridge/proxy/UpstreamPool.java
@@ -23,7 +23,7 @@
      */
     private static final double IDLE_LIMIT_FACTOR = 0.7;
 
-    /** Sweeps for idle connections are this share of the proxy's own idle timeout apart. */
+    /** The interval between sweeps for expired connections, as a share of the idle limit. */
     private static final double SWEEP_INTERVAL_FACTOR = 0.1;
 
     private final ConnectionReactor reactor;
@@ -36,7 +36,7 @@
     /**
      * Creates a pool without nodes and connections.
      *
-     * @param nodeIdleTimeoutTicks after this time the nodes close idle connections
+     * @param nodeIdleTimeoutTicks the time after which nodes close an idle connection
      */
     UpstreamPool(ConnectionReactor reactor, long connectTimeoutTicks, long nodeIdleTimeoutTicks) {
         this.reactor = reactor;
@@ -80,8 +80,9 @@
                 .entrySet()
                 .removeIf(
                         entry -> {
-                            // Guards against reusing the connections of a removed node for a new
-                            // node at the same address: they are pooled by node id.
+                            // Guards against reusing connections to a removed node for its
+                            // successor at the same address: connections are pooled by node id,
+                            // and those of removed nodes are closed here.
                             entry.getValue()
                                     .removeIf(
                                             connection -> {
@@ -167,7 +168,7 @@
         }
     }
 
-    /** Removes a connection that was closed from the pool. */
+    /** Removes a closed connection from the pool, if it was idle. */
     void connectionClosed(UpstreamConnection connection) {
         ArrayDeque<UpstreamConnection> idle = idleConnections.get(connection.node);
         if (idle != null && idle.remove(connection) && idle.isEmpty()) {
@@ -182,7 +183,7 @@
 
     /**
      * Guards against a request written to a connection that the node is closing at that moment: the
-     * proxy closes a connection that has been idle for long before the node does.
+     * proxy closes an idle connection before the idle timeout of the node.
      */
     void closeExpired(long now) {
         for (ArrayDeque<UpstreamConnection> idle : idleConnections.values()) {
