--- a/src/main/java/cairnbridge/proxy/UpstreamIoHandler.java
+++ b/src/main/java/cairnbridge/proxy/UpstreamIoHandler.java
@@ -10,15 +10,15 @@
 import org.apache.hc.core5.reactor.ProtocolIOSession;
 
 /**
- * Handles the I/O events of one connection to a server. The library calls it on the reactor's
- * thread.
+ * Handles the I/O events of one connection to a server: parses responses, and closes the connection
+ * if bytes arrive while no request is open. The HTTP library calls it on the reactor thread.
  */
 final class UpstreamIoHandler extends ClientHttp1IOEventHandler {
     private static final long NOT_READABLE = -1;
 
     private final UpstreamConnection connection;
 
-    /** The handler of a connection that has just come up. */
+    /** Creates the handler of a connection that has just been established. */
     UpstreamIoHandler(ProtocolIOSession session, UpstreamConnection connection) {
         super(createDuplexer(session, connection));
         this.connection = connection;
@@ -47,7 +47,8 @@
             ReadLoop.readWhileProgressing(
                     () -> super.inputReady(session, null), this::streamedBytesIfReadable);
         } else {
-            // Guards against bytes on an idle connection; its end comes this way, too.
+            // Guards against unsolicited bytes on an idle connection, which the next request would
+            // read as its response. The end of the stream is reported here as well.
             session.close(CloseMode.IMMEDIATE);
         }
     }
