--- a/src/main/java/cairnbridge/proxy/ClassDataArchive.java
+++ b/src/main/java/cairnbridge/proxy/ClassDataArchive.java
@@ -9,10 +9,10 @@
 import java.util.logging.Logger;
 
 /**
- * Guards against starts that are slow for no visible reason: says if the command line names a class
- * data sharing archive that the virtual machine cannot use, as it was not made anew with the jar.
- * The virtual machine itself goes on without the archive, and deploy/serve.args turns its own log
- * of that off, which would also name options of no interest here.
+ * Guards against starts that are slow for no visible reason: logs if the command line names a class
+ * data sharing archive that the JVM cannot use, for example because it was not rebuilt with the
+ * jar. The JVM itself continues without the archive, and deploy/serve.args turns off the JVM's own
+ * message about it, because the JVM would also report options that are irrelevant here.
  */
 public final class ClassDataArchive {
     private static final String OPTION = "-XX:SharedArchiveFile=";
@@ -22,11 +22,11 @@
     private ClassDataArchive() {}
 
     /**
-     * Logs one line if an archive is named that is not in use. Where all is well it reads two
-     * properties and the times of two files, as that is part of every start; only where there is
-     * cause for doubt does it ask for the options of the virtual machine, which takes longer.
+     * Logs one line if the command line names an archive that is not in use. Because this is part
+     * of every start, it first reads only two system properties and the modification times of two
+     * files. It reads the options of the JVM, which takes longer, only if these leave doubt.
      *
-     * <p>An outdated archive is noticed if it lies next to the jar and has the jar's name.
+     * <p>An outdated archive is detected if it is in the jar's folder and has the jar's name.
      */
     public static void logIfUnused() {
         File jar = new File(System.getProperty("java.class.path", ""));
@@ -54,21 +54,21 @@
                 : new File(path + ARCHIVE_SUFFIX);
     }
 
-    /** The archive that the options name; the last one counts, as it does for the machine. */
+    /** The archive that the JVM options name; the last such option applies, as in the JVM. */
     static Optional<File> namedArchive(List<String> options) {
         return options.stream()
                 .filter(option -> option.startsWith(OPTION))
                 .reduce((first, second) -> second)
                 .map(option -> option.substring(OPTION.length()))
-                // A base archive may be named before the one of the application.
+                // A base archive may be listed before the application's archive.
                 .map(paths -> paths.substring(paths.lastIndexOf(File.pathSeparatorChar) + 1))
                 .map(File::new);
     }
 
     /**
-     * Why an archive that the command line names is not in use; empty if it is.
+     * The reason why an archive that the command line names is not in use; empty if it is in use.
      *
-     * @param sharing whether the virtual machine uses any archive
+     * @param sharing whether the JVM uses any archive
      */
     static Optional<String> unusedReason(File archive, File jar, boolean sharing) {
         if (!archive.exists()) {
@@ -81,8 +81,8 @@
     }
 
     /**
-     * Whether the jar was written after its archive. The archive holds the jar's time in whole
-     * seconds, so that the same second is not after it.
+     * Whether the jar was modified after its archive. The archive records the jar's time in whole
+     * seconds, so a difference within the same second does not count.
      */
     private static boolean isOutdated(File archive, File jar) {
         long archiveMillis = archive.lastModified();
--- a/src/main/java/cairnbridge/proxy/ConfigurationReload.java
+++ b/src/main/java/cairnbridge/proxy/ConfigurationReload.java
@@ -8,8 +8,8 @@
 import java.util.logging.Logger;
 
 /**
- * Applies a changed configuration file to a running proxy. Of all settings only the address of
- * discovery takes effect before the next start. It runs on the thread that asks for the reload.
+ * Applies a changed configuration file to a running proxy. Only a new discovery address takes
+ * effect before the next start. The reload runs on the thread that requests it.
  */
 final class ConfigurationReload {
     private static final Logger LOG = Logger.getLogger(ConfigurationReload.class.getName());
@@ -18,16 +18,16 @@
     private final DiscoveryWatch discoveryWatch;
 
     /**
-     * Reloads nothing yet.
+     * Creates a reload that {@link #reload} runs.
      *
-     * @param proxyName the proxy as log lines name it
+     * @param proxyName the proxy's name in log lines
      */
     ConfigurationReload(String proxyName, DiscoveryWatch discoveryWatch) {
         this.proxyName = proxyName;
         this.discoveryWatch = discoveryWatch;
     }
 
-    /** Reads the configuration and applies it; one that cannot be used is logged, and no more. */
+    /** Reads and applies the configuration; an unusable one is logged and changes nothing. */
     void reload(Supplier<ProxyConfig> reader) {
         try {
             InetSocketAddress discovery = reader.get().network().discovery();
--- a/src/main/java/cairnbridge/proxy/CriticalThreads.java
+++ b/src/main/java/cairnbridge/proxy/CriticalThreads.java
@@ -5,8 +5,9 @@
 import java.util.logging.Logger;
 
 /**
- * Makes the threads without which a proxy cannot work. If one of them ends before the proxy is told
- * to stop, that is logged and the handler of fatal errors runs on it. Any thread may call it.
+ * Creates the threads without which a proxy cannot work. If one of them ends before the proxy is
+ * stopping, that is logged and the handler of fatal errors runs on the ending thread. Any thread may
+ * call this class.
  */
 final class CriticalThreads implements ThreadFactory {
     private static final Logger LOG = Logger.getLogger(CriticalThreads.class.getName());
@@ -16,17 +17,17 @@
     private volatile boolean stopping;
 
     /**
-     * Makes no thread yet.
+     * Creates the factory, without threads.
      *
-     * @param proxyName the proxy as log lines name it
-     * @param onFatalError runs on each thread that ends too early
+     * @param proxyName the proxy's name in log lines
+     * @param onFatalError runs on each thread that ends before the proxy is stopping
      */
     CriticalThreads(String proxyName, Runnable onFatalError) {
         this.proxyName = proxyName;
         this.onFatalError = onFatalError;
     }
 
-    /** A daemon thread, not yet started, whose early end is a fatal error. */
+    /** Creates a daemon thread whose end before the proxy is stopping is a fatal error. */
     @Override
     public Thread newThread(Runnable task) {
         Thread thread = new Thread(() -> runCritically(task));
@@ -35,8 +36,8 @@
     }
 
     /**
-     * Guards against a proxy that is up but serves nobody: the library ends a thread on some
-     * faults.
+     * Runs a task and reports its unexpected end. Guards against a proxy that stays up without
+     * serving requests: the HTTP library ends a thread on some faults.
      */
     private void runCritically(Runnable task) {
         try {
@@ -49,7 +50,7 @@
         }
     }
 
-    /** From now on the proxy is stopping, and a thread that ends is no error. */
+    /** Marks the proxy as stopping: from now on a thread that ends is no error. */
     void allowEnds() {
         stopping = true;
     }
--- a/src/main/java/cairnbridge/proxy/DeduplicatedLog.java
+++ b/src/main/java/cairnbridge/proxy/DeduplicatedLog.java
@@ -7,8 +7,9 @@
 import java.util.logging.Logger;
 
 /**
- * Logs each warning once, and no more than some: guards against a log that is filled by what others
- * write. It has no lock: its owner calls it on one thread at a time.
+ * Logs each distinct warning once, up to a limit. Guards against a log that is filled with warnings
+ * about faulty input from discovery or from shared files. It is not thread-safe: its owner calls it
+ * on one thread at a time.
  */
 final class DeduplicatedLog {
     private static final int MAX_MESSAGES = 20;
@@ -18,9 +19,9 @@
     private final Set<String> reported = new HashSet<>();
 
     /**
-     * Logs nothing yet.
+     * Creates a log without any warning reported.
      *
-     * @param prefix what each line starts with, before a colon
+     * @param prefix the start of each line, followed by a colon
      */
     DeduplicatedLog(Logger log, String prefix) {
         this.log = log;
@@ -30,8 +31,8 @@
     /**
      * Logs a warning, unless the same text was logged before or the limit is reached.
      *
-     * @param message a text with {0}, {1} and so on for the parameters; plain text if there are
-     *     none
+     * @param message a {@link MessageFormat} pattern if there are parameters, otherwise the text
+     *     itself
      */
     void warnOnce(String message, Object... parameters) {
         String text = parameters.length == 0 ? message : MessageFormat.format(message, parameters);
--- a/src/main/java/cairnbridge/proxy/DiscoveryWatch.java
+++ b/src/main/java/cairnbridge/proxy/DiscoveryWatch.java
@@ -33,7 +33,10 @@
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
 
-/** Follows discovery's list: a watch that is opened again whenever it ends or falls silent. */
+/**
+ * Follows discovery's endpoint list over a long-lived HTTP watch, which is opened again whenever it
+ * ends or falls silent.
+ */
 final class DiscoveryWatch {
     private static final Logger LOG = Logger.getLogger(DiscoveryWatch.class.getName());
     private static final String LIST_PATH = "/api/targets";
@@ -44,71 +47,74 @@
     private final ConnectionReactor reactor;
     private final EventQueue eventQueue;
 
-    /** One thread, idle nearly always: it dials again after a wait and notices silence. */
+    /** One thread, mostly idle: it runs retries, liveness checks and received messages. */
     private final ScheduledExecutorService scheduler;
 
     private volatile InetSocketAddress discoveryAddress;
     private volatile DiscoveryCall activeCall;
 
     /**
-     * Whether to call now, by how many milliseconds ago this proxy last did; a fleet shares the
-     * calls out.
+     * Whether this proxy may call discovery now, given the milliseconds since its last call. In a
+     * fleet, the calls are shared among the members.
      */
-    private volatile LongPredicate pollPermission = sinceCalled -> true;
+    private volatile LongPredicate pollPermission = millisSinceLastCall -> true;
 
     private long lastCallNanos = System.nanoTime();
     private long lastCallEndNanos = lastCallNanos;
 
     /**
-     * Guards against a fleet killed together that asks together, again and again: waits are
-     * scattered.
+     * Guards against synchronised calls of a fleet whose members were all killed at once: each wait
+     * has a random part.
      */
     private final RandomGenerator random;
 
     private volatile long version;
 
-    /** Lists of discovery's below this version are not used; 0 where none was known before. */
+    /** Lists from discovery with a lower version are not used; 0 if no version is known. */
     private volatile long versionFloor;
 
-    /** Null where lists are not kept over a loss of power. */
+    /** Null if endpoint lists are not persisted across a power loss. */
     private EndpointListHistory history;
 
     private long backoffMillis = TimeBudget.MIN_BACKOFF_MILLIS;
     private boolean started;
     private boolean watchWanted;
     private boolean listCurrent;
-    private boolean discoveryHeard;
+    private boolean discoveryListReceived;
     private boolean watchLost;
 
-    /** Open until the first call has brought something, or has failed. */
+    /** Open until the first call has delivered a list, was answered without one, or has ended. */
     private final CountDownLatch firstResult = new CountDownLatch(1);
 
     private final DeduplicatedLog deduplicatedLog = new DeduplicatedLog(LOG, "roster");
 
-    /** The list's nodes, and whether each is a cache. */
-    private final Map<NodeId, Boolean> cacheFlagByNode = new ConcurrentHashMap<>();
+    /** The nodes on the list, and whether each is a cache. */
+    private final Map<NodeId, Boolean> isCacheByNode = new ConcurrentHashMap<>();
 
-    /** The list's caches as plans over zones need them. */
+    /** The caches on the list, in the form that zone plans need. */
     private final Map<NodeId, ListedNode> listedCaches = new ConcurrentHashMap<>();
 
     private final ProxyMetrics metrics;
 
     DiscoveryWatch(
             ProxyConfig config,
-            ConnectionReactor sockets,
-            EventQueue inbox,
-            ScheduledExecutorService timer,
-            ProxyMetrics figures) {
-        this.metrics = figures;
+            ConnectionReactor reactor,
+            EventQueue eventQueue,
+            ScheduledExecutorService scheduler,
+            ProxyMetrics metrics) {
+        this.metrics = metrics;
         this.config = config;
         this.discoveryAddress = config.network().discovery();
         this.random = RandomGeneratorFactory.of("L64X128MixRandom").create(config.seed());
-        this.reactor = sockets;
-        this.eventQueue = inbox;
-        this.scheduler = timer;
+        this.reactor = reactor;
+        this.eventQueue = eventQueue;
+        this.scheduler = scheduler;
     }
 
-    /** The list as this proxy last had it, then the watch, unless the module has to ask for it. */
+    /**
+     * Publishes the endpoint list of the configuration, if it has one, and opens the watch, unless
+     * the settings say that the decision module has to subscribe first.
+     */
     void start() {
         if (config.initialEndpoints().has("targets")) {
             publishList(config.initialEndpoints(), ListScope.CACHED);
@@ -129,9 +135,10 @@
     }
 
     /**
-     * Waits until discovery's word has gone to the owner, or there is none to be had. Guards
-     * against ops sent by the list of the configuration: what discovery has counts as told from a
-     * process's first moment.
+     * Waits until the first list from discovery is queued for the owner thread, or until discovery
+     * has none or cannot be reached. Guards against requests routed by the configuration's outdated
+     * list: a change that discovery has already published has to be followed from the first request
+     * on.
      */
     void awaitFirstList() throws InterruptedException {
         firstResult.await(
@@ -143,8 +150,8 @@
         scheduler.execute(
                 () -> {
                     watchWanted = on;
-                    // Guards against a module that asks as soon as it is made, when nothing can be
-                    // dialled yet.
+                    // Guards against a connect before start(): the decision module may subscribe
+                    // as soon as it is created, when the reactor does not run yet.
                     if (on && activeCall == null && started) {
                         openWatch();
                     } else if (!on && activeCall != null) {
@@ -153,56 +160,59 @@
                 });
     }
 
-    /** The whole list, once. */
+    /** Requests the whole list once, without a watch. */
     void fetch() {
-        InetSocketAddress asked = discoveryAddress;
+        InetSocketAddress address = discoveryAddress;
         reactor.connect(
-                asked,
+                address,
                 config.network().connectTimeout(),
-                new DiscoveryCall(asked, LIST_PATH, false));
+                new DiscoveryCall(address, LIST_PATH, false));
     }
 
-    /** Who calls is decided with others from now on. */
-    void setPollPermission(LongPredicate may) {
-        pollPermission = may;
+    /** Sets the predicate that decides, before each retry, whether this proxy may call. */
+    void setPollPermission(LongPredicate permission) {
+        pollPermission = permission;
     }
 
-    /** The version of the list that is held; any thread may ask. */
+    /** The version of the current list; any thread may call it. */
     long version() {
         return version;
     }
 
-    /** Whether the list comes in right now: one that has missed a beat may be about to be lost. */
+    /**
+     * Whether the watch is open and its heartbeats are on time. A heartbeat that is half an
+     * interval late makes it unhealthy, which is before it counts as silent and is closed.
+     */
     boolean isWatchHealthy() {
-        DiscoveryCall now = activeCall;
-        return now != null
-                && now.statusCode == OK
-                && millisSince(now.lastHeardNanos) < TimeBudget.HEARTBEAT_MILLIS * 3 / 2;
+        DiscoveryCall call = activeCall;
+        return call != null
+                && call.statusCode == OK
+                && millisSince(call.lastReceivedNanos) < TimeBudget.HEARTBEAT_MILLIS * 3 / 2;
     }
 
-    /** Lists are put down in the book from now on; before the start. */
-    void setHistory(EndpointListHistory lists) {
-        history = lists;
+    /** Sets where received lists are recorded for persistence; to be called before the start. */
+    void setHistory(EndpointListHistory endpointLists) {
+        history = endpointLists;
     }
 
-    /** Discovery's lists count from this version on. */
+    /** Sets the lowest version of discovery's lists that is used from now on. */
     void setVersionFloor(long floor) {
         versionFloor = floor;
     }
 
     /**
-     * A list that did not come from discovery is in use until that tells one; its text as
-     * discovery's.
+     * Uses a list that did not come from discovery, until discovery sends one. The text has the
+     * form of discovery's own messages.
      */
     void usePersistedList(String text) {
         scheduler.execute(
                 () -> {
-                    if (discoveryHeard) {
-                        return; // Discovery was faster.
+                    if (discoveryListReceived) {
+                        return; // Discovery's own list takes precedence.
                     }
                     try {
-                        publishList(JsonObject.parse(text, "kept list"), ListScope.CACHED);
-                        listCurrent = false; // The first call asks for the whole list.
+                        publishList(JsonObject.parse(text, "persisted list"), ListScope.CACHED);
+                        listCurrent = false; // The first call requests the whole list.
                         history.lineReceived(text);
                     } catch (ConfigurationException e) {
                         LOG.warning("roster: a list from before cannot be used: " + e.getMessage());
@@ -210,7 +220,7 @@
                 });
     }
 
-    /** Asks discovery for its whole list once more. */
+    /** Closes the current call, so that the next one requests discovery's whole list. */
     void refetch() {
         scheduler.execute(
                 () -> {
@@ -229,24 +239,24 @@
     }
 
     /**
-     * Discovery is elsewhere from now on: its whole list counts, and the watch at the old place
-     * goes.
+     * Changes discovery's address: requests the whole list at the new address, and closes the watch
+     * at the old one.
      */
-    void setDiscoveryAddress(InetSocketAddress there) {
+    void setDiscoveryAddress(InetSocketAddress newAddress) {
         scheduler.execute(
                 () -> {
-                    if (there.equals(discoveryAddress)) {
+                    if (newAddress.equals(discoveryAddress)) {
                         return;
                     }
-                    discoveryAddress = there;
+                    discoveryAddress = newAddress;
                     listCurrent = false;
                     backoffMillis = TimeBudget.MIN_BACKOFF_MILLIS;
-                    DiscoveryCall old = activeCall;
+                    DiscoveryCall oldCall = activeCall;
                     if (watchWanted) {
                         openWatch();
                     }
-                    if (old != null) {
-                        old.connection.close();
+                    if (oldCall != null) {
+                        oldCall.connection.close();
                     }
                 });
     }
@@ -256,28 +266,28 @@
     }
 
     /**
-     * Guards against a watch that is open but dead, as discovery writes at least a heartbeat's
-     * empty line, and against a call that hangs while discovery is down and goes on hanging once it
-     * is back.
+     * Closes a call that has been silent too long, and handles it as ended. Guards against a watch
+     * whose connection is open but dead: a live discovery writes at least an empty line as a
+     * heartbeat. Also guards against a call that hangs while discovery is down, and keeps hanging
+     * after discovery has returned.
      */
     private void checkLiveness() {
         DiscoveryCall call = activeCall;
         if (call == null) {
             return;
         }
-        long most =
+        long timeoutMillis =
                 call.statusCode == 0
                         ? TimeBudget.CALL_TIMEOUT_MILLIS
                         : TimeBudget.WATCH_SILENCE_MILLIS;
-        if (millisSince(call.lastHeardNanos) >= most) {
+        if (millisSince(call.lastReceivedNanos) >= timeoutMillis) {
             LOG.warning(
                     "roster: the "
                             + (call.statusCode == 0 ? "call" : "watch")
                             + " is silent, dialling again");
             call.connection.close();
-            handleCallEnded(
-                    call); // Whatever becomes of the connection: the next call does not wait for
-            // its end.
+            // The next call does not wait until the connection is closed.
+            handleCallEnded(call);
         }
     }
 
@@ -288,8 +298,8 @@
         activeCall = null;
         firstResult.countDown();
         lastCallEndNanos = System.nanoTime();
-        // Guards against a wait grown long before: one that has held for a while is called again at
-        // once.
+        // Guards against a long backoff that is left over from earlier failures: after a watch that
+        // stayed open for a heartbeat interval, the backoff starts at its minimum again.
         if (call.statusCode == OK
                 && millisSince(call.startedAtNanos) >= TimeBudget.HEARTBEAT_MILLIS) {
             backoffMillis = TimeBudget.MIN_BACKOFF_MILLIS;
@@ -310,11 +320,13 @@
     }
 
     /**
-     * Backoff with jitter, bounded from the end of the last call on, whoever else may be to call.
+     * Schedules the next call after a backoff with jitter. Until the longest backoff has passed
+     * since the last call ended, the poll permission may defer the call; after that it is made in
+     * any case.
      */
     private void scheduleRetry() {
-        long left = TimeBudget.MAX_BACKOFF_MILLIS - millisSince(lastCallEndNanos);
-        long wait = backoffMillis / 2 + random.nextLong(backoffMillis / 2 + 1);
+        long remainingMillis = TimeBudget.MAX_BACKOFF_MILLIS - millisSince(lastCallEndNanos);
+        long waitMillis = backoffMillis / 2 + random.nextLong(backoffMillis / 2 + 1);
         backoffMillis = Math.min(TimeBudget.MAX_BACKOFF_MILLIS, backoffMillis * 2);
         scheduler.schedule(
                 () -> {
@@ -328,24 +340,24 @@
                         }
                     }
                 },
-                Math.max(1, Math.min(wait, left)),
+                Math.max(1, Math.min(waitMillis, remainingMillis)),
                 TimeUnit.MILLISECONDS);
     }
 
     private void handleMessage(DiscoveryCall call, String text) {
-        // Guards against the last words of a discovery that has moved: its versions say nothing any
-        // more.
+        // Guards against a late message from a previous discovery address: its versions cannot be
+        // compared with those of the current address.
         if (!call.address.equals(discoveryAddress)) {
             return;
         }
         try {
             JsonObject tree = JsonObject.parse(text, "roster");
-            long told = (long) tree.number("rev", version);
-            if (told < versionFloor) {
-                eventQueue.post(new ProxyEvent.StaleListReceived(told));
+            long receivedVersion = (long) tree.number("rev", version);
+            if (receivedVersion < versionFloor) {
+                eventQueue.post(new ProxyEvent.StaleListReceived(receivedVersion));
                 return;
             }
-            discoveryHeard = true;
+            discoveryListReceived = true;
             if (history != null) {
                 history.lineReceived(text);
             }
@@ -358,8 +370,8 @@
         } catch (ConfigurationException e) {
             deduplicatedLog.warnOnce(
                     "line cannot be used, asking for the whole list, " + e.getMessage());
-            // Guards against a change that is missed for good: what comes behind it says nothing of
-            // it.
+            // Guards against losing the change in this message: later messages do not repeat it, so
+            // the next call requests the whole list.
             listCurrent = false;
             if (activeCall == call) {
                 call.connection.close();
@@ -371,11 +383,11 @@
     private void publishList(JsonObject tree, ListScope scope) {
         List<Endpoint> entries = new ArrayList<>();
         Map<NodeId, InetSocketAddress> addresses = new HashMap<>();
-        for (JsonObject each : tree.objects("targets")) {
-            String uid = each.text("uid", "");
-            InetSocketAddress address = IpAddresses.parse(each.text("endpoint", "")).orElse(null);
+        for (JsonObject target : tree.objects("targets")) {
+            String uid = target.text("uid", "");
+            InetSocketAddress address = IpAddresses.parse(target.text("endpoint", "")).orElse(null);
             NodeState state =
-                    switch (each.text("state", "")) {
+                    switch (target.text("state", "")) {
                         case "Ready" -> NodeState.READY;
                         case "Terminating" -> NodeState.DRAINING;
                         case "Gone" -> NodeState.GONE;
@@ -383,7 +395,11 @@
                     };
             if (uid.isEmpty() || state == null || address == null && state != NodeState.GONE) {
                 deduplicatedLog.warnOnce(
-                        "entry ignored, uid '" + uid + "' state '" + each.text("state", "") + "'");
+                        "entry ignored, uid '"
+                                + uid
+                                + "' state '"
+                                + target.text("state", "")
+                                + "'");
                 continue;
             }
             NodeId node = new NodeId(Fnv1a.hash(uid));
@@ -395,17 +411,19 @@
                             node,
                             state,
                             new MachineKind(
-                                    indexOf(config.names().machineKinds(), each.text("model", ""))),
-                            each.number("capacity_hint", 1),
-                            TickClock.fromUnixMillis((long) each.number("boot_ms", 0)),
-                            new CellId((int) each.number("pod_group", 0)),
-                            new ZoneId(indexOf(config.names().zones(), each.text("az", ""))));
+                                    indexOf(
+                                            config.names().machineKinds(),
+                                            target.text("model", ""))),
+                            target.number("capacity_hint", 1),
+                            TickClock.fromUnixMillis((long) target.number("boot_ms", 0)),
+                            new CellId((int) target.number("pod_group", 0)),
+                            new ZoneId(indexOf(config.names().zones(), target.text("az", ""))));
             entries.add(entry);
-            updateListedCache(entry, new Zone(each.text("az", "")));
+            updateListedCache(entry, new Zone(target.text("az", "")));
         }
-        isListed(scope, entries);
+        updateListedNodes(scope, entries);
         if (scope != ListScope.CHANGES && !entries.isEmpty()) {
-            listedCaches.keySet().retainAll(cacheFlagByNode.keySet());
+            listedCaches.keySet().retainAll(isCacheByNode.keySet());
         }
         version = (long) tree.number("rev", version);
         listCurrent = true;
@@ -417,7 +435,10 @@
         }
     }
 
-    /** A kind that nobody has named is a cache's, as in the module. */
+    /**
+     * Updates the caches on the list. A node whose machine kind is not configured counts as a
+     * cache, as it does in the decision module.
+     */
     private void updateListedCache(Endpoint entry, Zone zone) {
         if (entry.state() == NodeState.GONE
                 || entry.kind().equals(config.settings().origin().machineKind())) {
@@ -434,45 +455,45 @@
         }
     }
 
-    /** The list's caches. */
+    /** The caches on the list; any thread may call it. */
     List<ListedNode> listedCaches() {
         return List.copyOf(listedCaches.values());
     }
 
-    /** An empty list leaves the one held in use. */
-    private void isListed(ListScope scope, List<Endpoint> entries) {
+    /** Updates which nodes are listed. An empty list leaves the current one in use. */
+    private void updateListedNodes(ListScope scope, List<Endpoint> entries) {
         if (scope != ListScope.CHANGES && !entries.isEmpty()) {
-            cacheFlagByNode.clear();
+            isCacheByNode.clear();
         }
         for (Endpoint entry : entries) {
             if (entry.state() == NodeState.GONE) {
-                cacheFlagByNode.remove(entry.node());
+                isCacheByNode.remove(entry.node());
             } else {
-                cacheFlagByNode.put(
+                isCacheByNode.put(
                         entry.node(),
                         !entry.kind().equals(config.settings().origin().machineKind()));
             }
         }
         metrics.setListedNodes(
-                (int) cacheFlagByNode.values().stream().filter(isCache -> isCache).count());
+                (int) isCacheByNode.values().stream().filter(isCache -> isCache).count());
     }
 
-    /** Whether any list is known yet. */
+    /** Whether a list with at least one node is known. */
     boolean hasList() {
-        return !cacheFlagByNode.isEmpty();
+        return !isCacheByNode.isEmpty();
     }
 
     /** Whether the list names a node, whatever its state. */
     boolean isListed(NodeId node) {
-        return cacheFlagByNode.containsKey(node);
+        return isCacheByNode.containsKey(node);
     }
 
     private static int indexOf(List<String> names, String name) {
-        int at = names.indexOf(name);
-        return at < 0 ? UNKNOWN_INDEX : at;
+        int index = names.indexOf(name);
+        return index < 0 ? UNKNOWN_INDEX : index;
     }
 
-    /** How many braces the line opens and does not close. */
+    /** The number of opening minus closing braces in a line of JSON, outside its strings. */
     private static int countOpenBraces(String text) {
         int depth = 0;
         boolean quoted = false;
@@ -489,30 +510,32 @@
         return depth;
     }
 
-    /** One call to discovery: the standing watch, or a list asked for once. */
+    /** One call to discovery: the long-lived watch, or a single request for the list. */
     private final class DiscoveryCall extends HttpGet {
         private final InetSocketAddress address;
-        private final boolean standing;
+        private final boolean isWatch;
         private final long startedAtNanos = System.nanoTime();
 
-        /** Of an object that goes over several lines, what has come. */
+        /** The lines received so far of a JSON object that spans several lines. */
         private final StringBuilder partialMessage = new StringBuilder();
 
         private int openBraces;
-        private volatile long lastHeardNanos = startedAtNanos;
+        private volatile long lastReceivedNanos = startedAtNanos;
         private volatile int statusCode;
 
         DiscoveryCall(InetSocketAddress address, String target, boolean standing) {
             super(address, target);
             this.address = address;
-            this.standing = standing;
+            this.isWatch = standing;
         }
 
         @Override
         void onStatus(int status) {
             statusCode = status;
-            lastHeardNanos = System.nanoTime();
-            // What there is to tell comes with the head; nothing has changed where nothing does.
+            lastReceivedNanos = System.nanoTime();
+            // Discovery sends a pending list together with the response head. If no list has
+            // arrived
+            // a check interval later, there is nothing to wait for.
             scheduler.schedule(
                     firstResult::countDown,
                     TimeBudget.CHECK_INTERVAL_MILLIS,
@@ -521,26 +544,27 @@
 
         @Override
         void onLine(String text) {
-            lastHeardNanos = System.nanoTime();
+            lastReceivedNanos = System.nanoTime();
             if (statusCode != OK || text.isBlank() && partialMessage.length() == 0) {
                 return;
             }
-            // Guards against a list that comes indented; no heartbeat comes amid one, so that ends
-            // it anyhow.
+            // Guards against a list that is indented over several lines: it is complete once its
+            // braces are balanced. Discovery sends no heartbeat inside a list, so an empty line
+            // completes it as well.
             partialMessage.append(text).append('\n');
             openBraces += countOpenBraces(text);
             if (text.isBlank() || openBraces <= 0) {
                 openBraces = 0;
-                String whole = partialMessage.toString();
+                String message = partialMessage.toString();
                 partialMessage.setLength(0);
-                scheduler.execute(() -> handleMessage(this, whole));
+                scheduler.execute(() -> handleMessage(this, message));
             }
         }
 
         @Override
-        void onEnd(AttemptOutcome how) {
+        void onEnd(AttemptOutcome outcome) {
             connection.close();
-            if (standing) {
+            if (isWatch) {
                 scheduler.execute(() -> handleCallEnded(this));
             } else if (statusCode != OK) {
                 eventQueue.post(
--- a/src/main/java/cairnbridge/proxy/EndpointListListener.java
+++ b/src/main/java/cairnbridge/proxy/EndpointListListener.java
@@ -5,12 +5,12 @@
 import java.net.InetSocketAddress;
 import java.util.Map;
 
-/** Hears of endpoint lists; called on the reactor's thread or the watch's timer. */
+/** Receives endpoint lists; called on the reactor's thread or on the scheduler's thread. */
 interface EndpointListListener {
-    /** Discovery has sent a list or a part of one, or could not be reached. */
+    /** Discovery has sent a whole list or changes to it, or could not be reached. */
     void endpointListChanged(
             Event.EndpointListReceived list, Map<NodeId, InetSocketAddress> addresses);
 
-    /** Discovery has sent a list that is older than a known one; it is not in use. */
+    /** Discovery has sent a list that is older than a known version; it is not used. */
     void staleListReceived(long version);
 }
--- a/src/main/java/cairnbridge/proxy/EndpointSource.java
+++ b/src/main/java/cairnbridge/proxy/EndpointSource.java
@@ -1,24 +1,24 @@
 package cairnbridge.proxy;
 
-/** Asks discovery for the endpoint list. */
+/** Requests the endpoint list from discovery. */
 interface EndpointSource {
-    /** Asks nobody. */
+    /** Requests nothing; used where there is no discovery. */
     EndpointSource NONE =
             new EndpointSource() {
                 @Override
                 public void subscribe(boolean on) {
-                    // Nobody is asked.
+                    // There is no discovery to subscribe to.
                 }
 
                 @Override
                 public void fetch() {
-                    // Nobody is asked.
+                    // There is no discovery to fetch from.
                 }
             };
 
-    /** Asks for the list and its changes, or no longer. */
+    /** Starts or ends the subscription to the list and its changes. */
     void subscribe(boolean on);
 
-    /** Asks for the whole list once. */
+    /** Requests the whole list once. */
     void fetch();
 }
--- a/src/main/java/cairnbridge/proxy/FleetLink.java
+++ b/src/main/java/cairnbridge/proxy/FleetLink.java
@@ -17,12 +17,15 @@
 import java.util.Optional;
 
 /**
- * Connects the proxy to its fleet: announces what the proxy does, and passes on what the fleet asks
- * of it. The methods of {@link LocalProxy} are called on the fleet's thread; events reach the owner
- * thread through its queue.
+ * Connects the proxy to its fleet: provides what the fleet member announces about the proxy, and
+ * passes the fleet's events and requests on to the proxy. The methods of {@link LocalProxy} are
+ * called on the fleet's thread; events reach the owner thread through its queue.
  */
 final class FleetLink implements LocalProxy {
-    /** A proxy closes connections of clients once they take up this part of its descriptors. */
+    /**
+     * A third of the descriptors is announced as the limit of requests in flight: above about that
+     * share the proxy closes client connections with their answers.
+     */
     private static final int CLIENT_SHARE_DIVISOR = 3;
 
     private final ZoneRouter.Counts placementCounts = new ZoneRouter.Counts();
@@ -35,16 +38,16 @@
     private final EventQueue eventQueue;
     private final RecoveryStatus recovery;
 
-    /** Empty while the member itself is constructed, which asks for the first announcement. */
+    /** Empty while the member is being created, which already requests an announcement. */
     private volatile Optional<FleetMember> fleetMember = Optional.empty();
 
-    /** Whether plans over zones are in use. */
+    /** Whether zone plans are in use. */
     private volatile boolean zonePlansEnabled;
 
     /**
-     * A link to a fleet that has no member yet.
+     * Creates a link without a member, which {@link #setMember} sets.
      *
-     * @param recovery null where nothing is kept over a loss of power
+     * @param recovery null if nothing is persisted across a power loss
      */
     FleetLink(
             ProxyConfig config,
@@ -65,7 +68,7 @@
         this.recovery = recovery == null ? RecoveryStatus.NONE : recovery;
     }
 
-    /** Sets this proxy's member of the fleet; to be called before the proxy starts. */
+    /** Sets the fleet member of this proxy; to be called before the proxy starts. */
     void setMember(FleetMember member) {
         fleetMember = Optional.of(member);
     }
@@ -138,7 +141,7 @@
         return recovery.confirmedEndpointList();
     }
 
-    /** The number of requests since the start by where zone plans placed them; any thread. */
+    /** Numbers of requests since the start, by where zone plans placed them; any thread. */
     Map<String, Long> placementMetrics() {
         return Map.of(
                 "zones.near_total",
--- a/src/main/java/cairnbridge/proxy/FleetMembership.java
+++ b/src/main/java/cairnbridge/proxy/FleetMembership.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** The membership of a proxy in its fleet, wired before the proxy starts. */
+/** The membership of a proxy in its fleet, set up before the proxy starts. */
 final class FleetMembership implements FleetParticipation {
     private final FleetMember member;
     private final FleetLink link;
@@ -24,11 +24,12 @@
     }
 
     /**
-     * Makes a proxy a member of a fleet; it speaks with other members once it is started.
+     * Makes a proxy a member of a fleet. It exchanges no messages with other members before {@link
+     * #start}.
      *
-     * @param loadCounters counts the proxy's load from now on, for the fleet
-     * @param persistence what the proxy persists; it is started here
-     * @throws IOException if an address is not available, which the message names
+     * @param loadCounters counts the proxy's load for the fleet from now on
+     * @param persistence the proxy's persistence, which this method starts
+     * @throws IOException if an address is not available; the message names the address
      */
     static FleetMembership join(
             ProxyComponents components,
--- a/src/main/java/cairnbridge/proxy/FleetParticipation.java
+++ b/src/main/java/cairnbridge/proxy/FleetParticipation.java
@@ -3,43 +3,43 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** A proxy's part in a fleet; {@link #NONE} for a proxy on its own. Any thread may call it. */
+/** A proxy's participation in a fleet; {@link #NONE} without a fleet. Any thread may call it. */
 interface FleetParticipation {
     /** Takes part in no fleet. */
     FleetParticipation NONE = new NoFleet();
 
-    /** Starts to speak with other members; once, before the proxy itself starts. */
+    /** Starts to exchange messages with other members; called once, before the proxy starts. */
     void start();
 
-    /** Tells the fleet that this member ends, and waits until that is sent. */
+    /** Announces to the fleet that this member leaves, and waits until that is sent. */
     void leave() throws InterruptedException;
 
-    /** Ends the participation at once; may be called before the start, and again. */
+    /** Ends the participation at once; may be called before the start, and repeatedly. */
     void stop();
 
     /**
-     * The status of the fleet; empty if there is no fleet, or no such member.
+     * The status of the fleet or of a member; empty if there is no fleet, or no such member.
      *
      * @param command members, members-json or member
-     * @param id the member that is asked for, with the command member
+     * @param id the member's name for the command member, ignored for the others
      */
     Optional<String> status(String command, String id);
 
     /** Runs an admin command on zone plans; empty if there are none. */
     Optional<CompletableFuture<String>> zoneCommand(String line);
 
-    /** The participation of a proxy that is in no fleet. */
+    /** The participation of a proxy that is not in a fleet. */
     final class NoFleet implements FleetParticipation {
         private NoFleet() {}
 
         @Override
         public void start() {
-            // There is nobody to speak with.
+            // There are no other members.
         }
 
         @Override
         public void leave() {
-            // Nobody has to know.
+            // There are no other members.
         }
 
         @Override
--- a/src/main/java/cairnbridge/proxy/MaintenanceMarks.java
+++ b/src/main/java/cairnbridge/proxy/MaintenanceMarkers.java
@@ -20,24 +20,24 @@
 import java.util.stream.Stream;
 
 /**
- * Which nodes operators have taken into maintenance: one marker file a node, in a folder that a
- * process shares with its successor, so that both agree without a lock. Changes go to the
- * coordinator in the order in which they are made.
+ * The nodes that operators have taken into maintenance. Each is a marker file in a folder that a
+ * process shares with its successor, so that both agree without a lock. The coordinator receives
+ * changes in the order in which they are made.
  *
- * <p>The admin endpoint sets nodes, the scheduler refreshes, and the store's thread restores; the
- * lock of this object is held by all of them.
+ * <p>The admin endpoint sets nodes, the scheduler refreshes, and the store's thread restores; all
+ * of them synchronise on this object.
  */
-final class MaintenanceMarks {
-    private static final Logger LOG = Logger.getLogger(MaintenanceMarks.class.getName());
+final class MaintenanceMarkers {
+    private static final Logger LOG = Logger.getLogger(MaintenanceMarkers.class.getName());
 
-    /** The interval at which each process reads the markers again. */
+    /** The interval at which each process reads the marker files. */
     static final long REFRESH_MILLIS = 100;
 
-    /** After this time another process has surely read a marker. */
+    /** Within this time every other process has read a new marker file. */
     private static final long SIBLING_REFRESH_MILLIS = 3 * REFRESH_MILLIS;
 
     private static final long PERSIST_TIMEOUT_MILLIS = 500;
-    private static final String MARK_PREFIX = "hold-";
+    private static final String MARKER_PREFIX = "hold-";
     private static final String HEX_PATTERN = "[0-9a-f]{1,16}";
     private static final int HEX_RADIX = 16;
 
@@ -50,13 +50,14 @@
     private MaintenanceStore store = MaintenanceStore.NONE;
 
     /**
-     * Reads no marker yet.
+     * Starts without nodes in maintenance; {@link #refresh} reads the marker files.
      *
      * @param sharedFolder empty if there is none: then maintenance ends with the process
-     * @param isListed whether a node is known, so that it can be taken into maintenance
+     * @param isListed whether a node may be taken into maintenance because it is on the endpoint
+     *     list
      * @param hasSiblings whether other processes have to read a change
      */
-    MaintenanceMarks(
+    MaintenanceMarkers(
             Optional<Path> sharedFolder,
             EventQueue eventQueue,
             Predicate<NodeId> isListed,
@@ -67,7 +68,7 @@
         this.hasSiblings = hasSiblings;
     }
 
-    /** Changes are persisted there; to be called before the first of them. */
+    /** Sets where changes are persisted; to be called before the first change. */
     void setStore(MaintenanceStore store) {
         this.store = store;
     }
@@ -75,8 +76,8 @@
     /**
      * Takes a node into maintenance, or out of it.
      *
-     * @return true once that is in force in all processes, false if no such node is known; fails
-     *     with the {@link IOException} if the marker cannot be written, and with a {@link
+     * @return true once the change is in force in all processes, false if the node is unknown;
+     *     fails with an {@link IOException} if the marker file cannot be written, and with a {@link
      *     NotPersistedException} if the change is in force but was not persisted
      */
     synchronized CompletableFuture<Boolean> setMaintenance(String nodeUid, boolean enabled) {
@@ -85,7 +86,7 @@
             return CompletableFuture.completedFuture(false);
         }
         try {
-            writeMark(node, enabled);
+            writeMarker(node, enabled);
         } catch (IOException e) {
             LOG.log(Level.SEVERE, "maintenance: cannot write the marker file: {0}", e.toString());
             return CompletableFuture.failedFuture(e);
@@ -97,9 +98,9 @@
         CompletableFuture<Boolean> applied = new CompletableFuture<>();
         postChange(node, enabled, applied);
         CompletableFuture<Boolean> persisted = savePersistently(node, enabled);
-        CompletableFuture<Boolean> done =
-                applied.thenCombine(persisted, MaintenanceMarks::requirePersisted);
-        return hasSiblings.getAsBoolean() ? afterSiblingsRefresh(done) : done;
+        CompletableFuture<Boolean> inForceHere =
+                applied.thenCombine(persisted, MaintenanceMarkers::requirePersisted);
+        return hasSiblings.getAsBoolean() ? afterSiblingsRefresh(inForceHere) : inForceHere;
     }
 
     private boolean isKnown(NodeId node) {
@@ -112,7 +113,8 @@
     }
 
     /**
-     * Guards against operators who rely on a maintenance state that the next power loss would undo.
+     * Fails a change that was not persisted. Guards against operators who rely on a maintenance
+     * state that the next power loss would undo.
      */
     private static boolean requirePersisted(boolean applied, boolean persisted) {
         if (!persisted) {
@@ -122,29 +124,30 @@
     }
 
     /**
-     * Guards against an attempt of the other process after this one has confirmed: it reads the
-     * markers a few times a second.
+     * Delays the confirmation until the other processes have read the marker files, which they do
+     * every {@link #REFRESH_MILLIS}. Guards against an attempt that another process still sends to
+     * the node after this process has confirmed its maintenance.
      */
     private static CompletableFuture<Boolean> afterSiblingsRefresh(
-            CompletableFuture<Boolean> done) {
-        return done.thenApplyAsync(
+            CompletableFuture<Boolean> inForceHere) {
+        return inForceHere.thenApplyAsync(
                 applied -> applied,
                 CompletableFuture.delayedExecutor(SIBLING_REFRESH_MILLIS, TimeUnit.MILLISECONDS));
     }
 
-    /** Takes the nodes that were in maintenance before a power loss into maintenance again. */
+    /** Returns nodes to the maintenance that they were in before a power loss. */
     synchronized void restore(List<Long> nodeIds) {
         for (long nodeId : nodeIds) {
             NodeId node = new NodeId(nodeId);
             try {
-                writeMark(node, true);
+                writeMarker(node, true);
             } catch (IOException e) {
                 deduplicatedLog.warnOnce("cannot write the marker file: {0}", e);
             }
             if (!nodesInMaintenance.contains(node)) {
                 LOG.log(
                         Level.INFO,
-                        "maintenance: node {0} restored as in maintenance",
+                        "maintenance: node {0} restored to maintenance",
                         Long.toHexString(nodeId));
                 postChange(node, true, new CompletableFuture<>());
             }
@@ -156,19 +159,19 @@
         return nodesInMaintenance.stream().map(NodeId::value).sorted().toList();
     }
 
-    private void writeMark(NodeId node, boolean enabled) throws IOException {
+    private void writeMarker(NodeId node, boolean enabled) throws IOException {
         if (sharedFolder.isEmpty()) {
             return;
         }
-        Path mark = sharedFolder.get().resolve(MARK_PREFIX + Long.toHexString(node.value()));
+        Path marker = sharedFolder.get().resolve(MARKER_PREFIX + Long.toHexString(node.value()));
         if (!enabled) {
-            Files.deleteIfExists(mark);
-        } else if (!Files.exists(mark)) {
-            Files.createFile(mark);
+            Files.deleteIfExists(marker);
+        } else if (!Files.exists(marker)) {
+            Files.createFile(marker);
         }
     }
 
-    /** Tells the coordinator, which completes the future once it acts on the change. */
+    /** Posts a change to the coordinator, which completes the future once it has applied it. */
     private void postChange(NodeId node, boolean enabled, CompletableFuture<Boolean> applied) {
         if (enabled) {
             nodesInMaintenance.add(node);
@@ -178,46 +181,46 @@
         eventQueue.postUrgent(new ProxyEvent.NodeMaintenanceChanged(node, enabled, applied));
     }
 
-    /** Follows the markers of other processes; before the first request, then periodically. */
+    /** Applies the marker files of other processes; before the first request, then periodically. */
     synchronized void refresh() {
         if (sharedFolder.isEmpty()) {
             return;
         }
-        Set<NodeId> marked = new HashSet<>();
+        Set<NodeId> markedNodes = new HashSet<>();
         try {
-            readMarks(sharedFolder.get(), marked);
+            readMarkers(sharedFolder.get(), markedNodes);
         } catch (IOException | UncheckedIOException e) {
             deduplicatedLog.warnOnce("cannot read marker files, keeping current state: {0}", e);
             return;
         }
-        for (NodeId node : marked) {
+        for (NodeId node : markedNodes) {
             if (!nodesInMaintenance.contains(node)) {
                 postChange(node, true, new CompletableFuture<>());
             }
         }
         for (NodeId node : Set.copyOf(nodesInMaintenance)) {
-            if (!marked.contains(node)) {
+            if (!markedNodes.contains(node)) {
                 postChange(node, false, new CompletableFuture<>());
             }
         }
     }
 
     /**
-     * Reads the names of the files alone: a marker that cannot be read, or was half written, takes
-     * its node into maintenance, not out of it.
+     * Reads only the names of the files. An unreadable or half-written marker file therefore keeps
+     * its node in maintenance.
      */
-    private void readMarks(Path folder, Set<NodeId> marked) throws IOException {
+    private void readMarkers(Path folder, Set<NodeId> markedNodes) throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
             files.map(file -> file.getFileName().toString())
-                    .filter(name -> name.startsWith(MARK_PREFIX))
-                    .forEach(name -> parseMark(name, marked));
+                    .filter(name -> name.startsWith(MARKER_PREFIX))
+                    .forEach(name -> parseMarker(name, markedNodes));
         }
     }
 
-    private void parseMark(String name, Set<NodeId> marked) {
-        if (name.matches(MARK_PREFIX + HEX_PATTERN)) {
-            String nodeId = name.substring(MARK_PREFIX.length());
-            marked.add(new NodeId(Long.parseUnsignedLong(nodeId, HEX_RADIX)));
+    private void parseMarker(String name, Set<NodeId> markedNodes) {
+        if (name.matches(MARKER_PREFIX + HEX_PATTERN)) {
+            String nodeId = name.substring(MARKER_PREFIX.length());
+            markedNodes.add(new NodeId(Long.parseUnsignedLong(nodeId, HEX_RADIX)));
         } else {
             deduplicatedLog.warnOnce("unknown file in the state folder: {0}", name);
         }
--- a/src/main/java/cairnbridge/proxy/PeriodicTasks.java
+++ b/src/main/java/cairnbridge/proxy/PeriodicTasks.java
@@ -5,10 +5,9 @@
 import java.util.logging.Logger;
 
 /**
- * What a proxy does again and again while it runs, on the scheduler's thread: it follows the
- * maintenance marks of other processes, keeps to the budget of descriptors that it shares with
- * them, closes overdue connections, saves the state for a warm start, and prepares for a process
- * that takes this one's place.
+ * The periodic tasks of a running proxy, on the scheduler's thread. They apply the maintenance
+ * markers of other processes, exchange descriptor counts with them to keep to the shared budget,
+ * close overdue connections, write the warm start file, and prepare the handover to a successor.
  */
 final class PeriodicTasks {
     private static final Logger LOG = Logger.getLogger(PeriodicTasks.class.getName());
@@ -19,30 +18,32 @@
     private final ProxyComponents components;
     private final DeduplicatedLog deduplicatedLog = new DeduplicatedLog(LOG, "warm start");
 
-    /** Scheduler's thread only. */
+    /** Used only on the scheduler's thread. */
     private boolean handoverPrepared;
 
-    /** Schedules nothing yet. */
+    /** Creates the tasks; {@link #start} schedules them. */
     PeriodicTasks(ProxyComponents components) {
         this.components = components;
     }
 
     /** Schedules all tasks; they end with the scheduler. */
     void start() {
-        schedule(components.maintenanceMarks()::refresh, MaintenanceMarks.REFRESH_MILLIS);
+        schedule(components.maintenanceMarkers()::refresh, MaintenanceMarkers.REFRESH_MILLIS);
         schedule(this::checkConnections, CONNECTION_CHECK_MILLIS);
         schedule(this::saveWarmStart, WARM_START_SAVE_MILLIS);
         schedule(this::prepareHandover, SUCCESSOR_CHECK_MILLIS);
     }
 
-    /** On a thread of its own, as it takes longer than the other tasks may wait. */
+    /**
+     * Prepares to divert new connections once a successor runs. Uses a separate thread, because
+     * this takes longer than the other tasks may be delayed.
+     */
     private void prepareHandover() {
         if (!handoverPrepared && components.siblings().hasSuccessor()) {
             handoverPrepared = true;
-            Thread preparing =
-                    new Thread(components.reactor()::prepareDiversion, "prepare-handover");
-            preparing.setDaemon(true);
-            preparing.start();
+            Thread thread = new Thread(components.reactor()::prepareDiversion, "prepare-handover");
+            thread.setDaemon(true);
+            thread.start();
         }
     }
 
@@ -62,14 +63,14 @@
         reactor.closeOverdue();
     }
 
-    /** Only a process without siblings saves, for the next one that starts beside it. */
+    /** Only a process without siblings writes the file; the next process to start reads it. */
     private void saveWarmStart() {
         if (components.listenerState().isReady() && !components.siblings().hasSiblings()) {
             writeWarmStartFile();
         }
     }
 
-    /** Writes what was learnt about nodes to the warm start file; a failure is logged. */
+    /** Writes what was learnt about nodes to the warm start file; a failure is only logged. */
     void writeWarmStartFile() {
         try {
             components.config().writeWarmStart(components.coordinator().warmStartState());
--- a/src/main/java/cairnbridge/proxy/Persistence.java
+++ b/src/main/java/cairnbridge/proxy/Persistence.java
@@ -4,30 +4,30 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** What a proxy persists, to survive a power loss; {@link #NONE} persists nothing. */
+/** Persists a proxy's state across a power loss; {@link #NONE} persists nothing. */
 interface Persistence {
     /** Persists nothing. */
     Persistence NONE = new NoPersistence();
 
-    /** What tells the recovery after a power loss of the proxy's events; empty if there is none. */
+    /** Connects the proxy to its recovery from a power loss; empty if there is no recovery. */
     Optional<RecoveryLink> recoveryLink();
 
-    /** What the fleet's member needs to know of zone plans before it is made. */
+    /** The persisted epoch of zone plans and the store for new ones, for the fleet member. */
     FleetMember.PlanEpochs planEpochs();
 
-    /** Restores what was persisted and persists from now on; once, before the proxy starts. */
+    /** Restores the persisted state and starts to persist; called once, before the proxy starts. */
     void start(FleetMember member);
 
-    /** Metrics by their names; any thread may call it. */
+    /** The metrics by name; any thread may call it. */
     Map<String, Long> metrics();
 
-    /** How far the recovery after a power loss is, for operators; any thread may call it. */
+    /** The progress of the recovery, as text for operators; any thread may call it. */
     Optional<String> recoveryStatus();
 
-    /** Persists no more, and waits until what is under way is written. */
+    /** Stops persisting, and waits until pending writes are complete. */
     void stop() throws InterruptedException;
 
-    /** The persistence of a proxy without a disk. */
+    /** The persistence of a proxy for which none is configured. */
     final class NoPersistence implements Persistence {
         private NoPersistence() {}
 
--- a/src/main/java/cairnbridge/proxy/ProxyComponents.java
+++ b/src/main/java/cairnbridge/proxy/ProxyComponents.java
@@ -8,13 +8,13 @@
 import java.util.concurrent.ThreadPoolExecutor;
 
 /**
- * The parts of one proxy, made and wired but not started.
+ * The components of one proxy, created and connected but not started.
  *
- * @param criticalThreads makes the threads that the proxy cannot do without
- * @param eventQueue what waits for the coordinator
- * @param siblings other processes that serve at the same address
- * @param listenerState whether the proxy takes requests
- * @param scheduler runs what is done periodically, on one daemon thread
+ * @param criticalThreads creates the threads without which the proxy cannot work
+ * @param eventQueue the events that wait for the coordinator
+ * @param siblings the other processes that serve at the same address
+ * @param listenerState whether the proxy accepts requests
+ * @param scheduler runs periodic and delayed tasks, on one daemon thread
  */
 record ProxyComponents(
         ProxyConfig config,
@@ -27,20 +27,21 @@
         ConnectionReactor reactor,
         ScheduledExecutorService scheduler,
         DiscoveryWatch discoveryWatch,
-        MaintenanceMarks maintenanceMarks,
+        MaintenanceMarkers maintenanceMarkers,
         RequestCoordinator coordinator) {
     /**
-     * Each connection has a few events in the queue at most, so that it is never full in practice.
+     * The queue's capacity per connection. A connection has a few events in the queue at most, so
+     * in practice the queue is never full.
      */
     private static final int EVENTS_PER_SOCKET = 8;
 
     private static final String SCHEDULER_THREAD_NAME = "roster";
 
     /**
-     * Makes the parts of one proxy.
+     * Creates the components of one proxy.
      *
      * @param previousRun what an earlier process learnt; used unless the configuration's warm start
-     *     file is younger
+     *     file is newer
      */
     static ProxyComponents create(
             ProxyConfig config,
@@ -57,10 +58,11 @@
         ScheduledExecutorService scheduler = createScheduler();
         DiscoveryWatch discoveryWatch =
                 new DiscoveryWatch(config, reactor, eventQueue, scheduler, metrics);
-        // Guards against a change of maintenance that is refused, and kept by nobody, while a
-        // starting process has no endpoint list.
-        MaintenanceMarks maintenanceMarks =
-                new MaintenanceMarks(
+        // Guards against rejecting, and so losing, a maintenance change while a starting process
+        // has
+        // no endpoint list: until then every node counts as listed.
+        MaintenanceMarkers maintenanceMarks =
+                new MaintenanceMarkers(
                         config.stateFolder(),
                         eventQueue,
                         node -> discoveryWatch.isListed(node) || !discoveryWatch.hasList(),
--- a/src/main/java/cairnbridge/proxy/ProxyServer.java
+++ b/src/main/java/cairnbridge/proxy/ProxyServer.java
@@ -16,14 +16,14 @@
 import java.util.logging.Logger;
 
 /**
- * One proxy, from its start to its end. It is made, joined to a fleet if it has one, started once
- * and then ended by {@link #drain}, or by {@link #stop}. The admin endpoint calls the {@link
- * AdminOperations} on a thread of its own; {@link #reload} and {@link #drain} come on any thread.
+ * One proxy process. It is created, joined to a fleet if one is configured, started once, and ended
+ * by {@link #drain} or {@link #stop}. The admin endpoint calls the {@link AdminOperations} on its
+ * own thread; any thread may call {@link #reload} and {@link #drain}.
  */
 public final class ProxyServer implements AdminOperations {
     private static final Logger LOG = Logger.getLogger(ProxyServer.class.getName());
 
-    /** The thread of the coordinator, as thread dumps name it. */
+    /** The name of the owner thread, which runs the coordinator, in thread dumps. */
     static final String OWNER_THREAD_NAME = "owner";
 
     private final ProxyConfig config;
@@ -36,20 +36,20 @@
     private volatile FleetParticipation fleet = FleetParticipation.NONE;
 
     /**
-     * Makes a proxy.
+     * Creates a proxy, which {@link #start} starts.
      *
-     * @param onFatalError runs if a thread that the proxy cannot do without ends too early
+     * @param onFatalError runs if a thread without which the proxy cannot work ends unexpectedly
      */
     public ProxyServer(ProxyConfig config, Runnable onFatalError) {
         this(config, onFatalError, new TickClock());
     }
 
     /**
-     * Makes a proxy.
+     * Creates a proxy that takes over what an earlier process learnt.
      *
-     * @param onFatalError runs if a thread that the proxy cannot do without ends too early
-     * @param previousRun what an earlier process learnt, from a better source than the warm start
-     *     file; used unless that is younger
+     * @param onFatalError runs if a thread without which the proxy cannot work ends unexpectedly
+     * @param previousRun what an earlier process learnt, from the state that survives a power loss;
+     *     used unless the warm start file is newer
      */
     public ProxyServer(ProxyConfig config, Runnable onFatalError, WarmStartState previousRun) {
         this(config, onFatalError, new TickClock(), previousRun);
@@ -73,17 +73,17 @@
     }
 
     /**
-     * Makes this proxy a member of a fleet; before its start.
+     * Makes this proxy a member of a fleet; called before the start.
      *
-     * @param stateKeeper what was persisted before a power loss; empty if nothing is persisted
-     * @throws IOException if an address is not available, which the message names
+     * @param stateKeeper the persisted state; empty if none is configured
+     * @throws IOException if an address is not available; the message names the address
      */
     public void joinFleet(FleetConfig fleetConfig, Optional<StateKeeper> stateKeeper)
             throws IOException {
         FleetLoadCounters loadCounters =
                 new FleetLoadCounters(
                         config.names().zones(), config.settings(), components.clock().now());
-        // Set first, so that stop() ends it where an address of the fleet is not available.
+        // Assigned before the join, so that stop() also stops it after a join that has failed.
         if (stateKeeper.isPresent()) {
             persistence = new StatePersistence(components, fleetConfig, stateKeeper.get());
         }
@@ -91,20 +91,23 @@
     }
 
     /**
-     * Listens, gets the endpoint list, and returns once the proxy is ready for clients.
+     * Starts to listen, gets the endpoint list, and returns once the proxy is ready for clients.
      *
-     * @throws IOException if an address is not available, which the message names
+     * @throws IOException if an address is not available; the message names the address
      */
     public void start() throws IOException, InterruptedException {
         ListenerState listenerState = components.listenerState();
         SiblingProcesses siblings = components.siblings();
         ConnectionReactor reactor = components.reactor();
         fleet.start();
-        components.maintenanceMarks().refresh();
+        components.maintenanceMarkers().refresh();
         ownerThread.start();
         startAdminServer();
-        // Guards against clients that find nobody while a proxy warms up after a restart: it serves
-        // them. If a sibling does that, they are not to come to a process that is cold.
+        // Guards against refused connections while a restarted proxy warms up: it listens before
+        // its
+        // warm-up. If a sibling serves meanwhile, it listens only afterwards, so that no client
+        // gets
+        // a cold process.
         boolean hasSiblings = siblings.hasSiblings();
         siblings.markRunning();
         reactor.start();
@@ -132,7 +135,7 @@
         }
     }
 
-    /** The address on which it takes requests. */
+    /** The address on which the proxy accepts requests. */
     public InetSocketAddress address() throws IOException {
         return components.reactor().address();
     }
@@ -144,7 +147,7 @@
     }
 
     /**
-     * For tests alone: the descriptors in use for connections, among them those that are being
+     * For tests only: the descriptors in use for connections, including those that are being
      * opened.
      */
     int openDescriptors() {
@@ -152,8 +155,8 @@
     }
 
     /**
-     * For tests alone: closes the connection of each client, at once or with the answer that it
-     * waits for.
+     * For tests only: closes each client connection, at once if it is idle, otherwise with the
+     * answer in progress.
      */
     void finishClients() {
         components.reactor().finishClients();
@@ -181,7 +184,7 @@
 
     @Override
     public CompletableFuture<Boolean> setMaintenance(String node, boolean on) {
-        return components.maintenanceMarks().setMaintenance(node, on);
+        return components.maintenanceMarkers().setMaintenance(node, on);
     }
 
     @Override
@@ -190,18 +193,20 @@
         components.listenerState().setStandby(on);
     }
 
-    /** Reads the configuration again; until the next start only discovery's address counts. */
+    /**
+     * Reads the configuration again; only a new discovery address takes effect before a restart.
+     */
     public void reload(Supplier<ProxyConfig> reader) {
         new ConfigurationReload(config.name(), components.discoveryWatch()).reload(reader);
     }
 
     /**
-     * The planned end: serves on while a request can still be answered, finishes what it has, and
-     * stops. It takes a bounded time.
+     * Shuts the proxy down gracefully: continues to serve while a new request can still be
+     * answered, finishes the requests in flight, and stops. This takes a bounded time.
      */
     public void drain() {
         if (criticalThreads.isStopping()) {
-            return; // Guards against a wait for clients where none could ever come.
+            return; // Guards against waiting for clients of a proxy that is already stopped.
         }
         new GracefulShutdown(components).drain();
         try {
@@ -221,14 +226,14 @@
                 });
     }
 
-    /** Ends everything at once, also where the start has failed, and saves what was learnt. */
+    /** Stops everything at once, also after a failed start, and writes the warm start file. */
     public void stop() {
         criticalThreads.allowEnds();
         components.coordinator().stop();
         adminServer.ifPresent(AdminServer::stop);
         fleet.stop();
         components.scheduler().shutdownNow();
-        components.siblings().removeMarks();
+        components.siblings().removeMarkers();
         try {
             components.reactor().stop();
             ownerThread.join();
--- a/src/main/java/cairnbridge/proxy/RecoveryLink.java
+++ b/src/main/java/cairnbridge/proxy/RecoveryLink.java
@@ -26,14 +26,15 @@
 import java.util.random.RandomGeneratorFactory;
 
 /**
- * Connects the proxy to its {@link RecoveryCoordinator}: passes on what happens, and does what it
- * asks for. The methods of {@link RecoveryListener} and {@link RecoveryHost} are called on the
- * owner thread; any thread may call the others, which read the status that was published last.
+ * Connects the proxy to its {@link RecoveryCoordinator}: passes the proxy's events to it, and
+ * carries out its requests. The methods of {@link RecoveryListener} and {@link RecoveryHost} are
+ * called on the owner thread, which runs the request coordinator. Any thread may call the other
+ * methods; they read the latest published status.
  */
 final class RecoveryLink implements RecoveryHost, RecoveryListener, RecoveryStatus {
     private static final Logger LOG = Logger.getLogger(RecoveryLink.class.getName());
 
-    /** What other threads may read of the recovery. */
+    /** The status of the recovery, for other threads than the owner thread. */
     private record PublishedStatus(
             RecoveryPhase phase,
             int originLimit,
@@ -55,10 +56,10 @@
     private volatile PublishedStatus published;
 
     /**
-     * A link to a recovery that begins now.
+     * Begins the recovery.
      *
-     * @param member the name of this member
-     * @param zone its zone
+     * @param member the name of this proxy's fleet member
+     * @param zone the zone of that member
      */
     RecoveryLink(
             ProxyConfig config,
@@ -98,12 +99,12 @@
                         0);
     }
 
-    /** Sets this proxy's member of the fleet; to be called before the proxy starts. */
+    /** Sets the fleet member of this proxy; to be called before the proxy starts. */
     void setMember(FleetMember member) {
         fleetMember = member;
     }
 
-    // What happens; the owner thread.
+    // Events for the recovery, on the owner thread.
 
     @Override
     public boolean admit(ClientExchange exchange, long deadlineTicks, long nowTicks) {
@@ -121,7 +122,7 @@
             case REJECTED -> exchange.rejectRetryable(allowedRetryAfter(decision));
             case FAILED -> exchange.failPermanently();
             default -> {
-                // An admitted request is answered later.
+                // The request coordinator answers an admitted request.
             }
         }
         return decision.kind() == AdmissionDecision.Kind.ADMITTED;
@@ -186,7 +187,7 @@
         discoveryWatch.setVersionFloor(coordinator.endpointListFloor());
     }
 
-    // What the recovery asks for; the owner thread.
+    // Requests of the recovery, on the owner thread.
 
     @Override
     public void usePersistedList() {
@@ -201,10 +202,10 @@
     public void requestEndpointList(String member) {
         fleetMember.requestEndpointList(
                 new MemberId(member),
-                answer -> {
-                    if (answer.isPresent() && answer.get().length > 0) {
+                response -> {
+                    if (response.isPresent() && response.get().length > 0) {
                         discoveryWatch.usePersistedList(
-                                new String(answer.get(), StandardCharsets.UTF_8));
+                                new String(response.get(), StandardCharsets.UTF_8));
                     }
                 });
     }
@@ -229,9 +230,9 @@
         LOG.log(Level.INFO, "{0}", line);
     }
 
-    // What the fleet and the operators read; any thread.
+    // Status for the fleet and for operators, on any thread.
 
-    /** Passes the view on to the owner thread; called on the fleet's thread. */
+    /** Passes a membership view to the owner thread; called on the fleet's thread. */
     @Override
     public void fleetChanged(MembershipView view) {
         stateKeeper.store().checkDisk();
@@ -247,7 +248,7 @@
                 Math.max(stateKeeper.restored().epochFloor(), planEpoch));
     }
 
-    /** A list that did not come from discovery is not passed on. */
+    /** Only a list that discovery has confirmed is passed on to other members. */
     @Override
     public byte[] confirmedEndpointList() {
         return published.endpointListConfirmed()
@@ -264,7 +265,7 @@
         return status.phase() == RecoveryPhase.SERVE_ALL;
     }
 
-    /** The status for operators, in lines. */
+    /** The status for operators, one line per item. */
     String statusText() {
         StringBuilder text = new StringBuilder();
         published.statusLines().forEach(line -> text.append(line).append('\n'));
--- a/src/main/java/cairnbridge/proxy/RecoveryListener.java
+++ b/src/main/java/cairnbridge/proxy/RecoveryListener.java
@@ -6,11 +6,12 @@
 import cairnbridge.recovery.FleetSnapshot;
 
 /**
- * The recovery from a power loss, as the coordinator sees it: hears what happens, and admits
- * requests. Called on the owner thread; times are ticks.
+ * The request coordinator's interface to the recovery from a power loss: receives events, and
+ * admits or rejects new requests. Called on the owner thread, which runs the coordinator; times are
+ * ticks.
  */
 interface RecoveryListener {
-    /** Admits all requests. */
+    /** Admits all requests; used where there is no recovery. */
     RecoveryListener NONE =
             new RecoveryListener() {
                 @Override
@@ -59,20 +60,20 @@
                 }
             };
 
-    /** Whether a new request is handled; one that is not has been answered by this call. */
+    /** Admits a new request, or answers it with a rejection or failure and returns false. */
     boolean admit(ClientExchange exchange, long deadlineTicks, long nowTicks);
 
-    /** No answer is owed for a request any more. */
+    /** A request was given its final answer, or was dropped without one. */
     void requestAnswered(ClientExchange exchange);
 
     /** An attempt has ended. */
     void attemptEnded(
             UpstreamAttempt attempt, AttemptOutcome outcome, long durationTicks, long nowTicks);
 
-    /** Discovery has sent a list or a part of one, or could not be reached. */
+    /** Discovery has sent a whole list or changes to it, or could not be reached. */
     void endpointListChanged(Event.EndpointListReceived list, long nowTicks);
 
-    /** Discovery has sent a list that is older than a known one; it is not in use. */
+    /** Discovery has sent a list that is older than a known version; it is not used. */
     void staleListReceived(long version, long nowTicks);
 
     /** A health check has ended. */
@@ -81,6 +82,6 @@
     /** The fleet's membership view has changed. */
     void fleetChanged(FleetSnapshot snapshot, long nowTicks);
 
-    /** Goes on to further phases if what they waited for has happened. */
+    /** Enters each next phase of the recovery whose condition is met. */
     void advance(long nowTicks);
 }
--- a/src/main/java/cairnbridge/proxy/RecoveryStatus.java
+++ b/src/main/java/cairnbridge/proxy/RecoveryStatus.java
@@ -3,9 +3,9 @@
 import cairnbridge.fleet.member.RecoveryProgress;
 import cairnbridge.fleet.membership.MembershipView;
 
-/** The recovery from a power loss, as the fleet sees it; called on the fleet's thread. */
+/** The fleet's interface to the recovery from a power loss; called on the fleet's thread. */
 interface RecoveryStatus {
-    /** There is no recovery, and no list to pass on. */
+    /** Used where there is no recovery: there is no list to pass on to other members. */
     RecoveryStatus NONE =
             new RecoveryStatus() {
                 @Override
@@ -24,12 +24,16 @@
                 }
             };
 
-    /** How far this proxy has recovered, with the epoch of the zone plan that it knows. */
+    /**
+     * How far this proxy has recovered.
+     *
+     * @param planEpoch the epoch of the latest zone plan that the proxy knows
+     */
     RecoveryProgress progress(long planEpoch);
 
     /** The fleet's membership view has changed. */
     void fleetChanged(MembershipView view);
 
-    /** The endpoint list in discovery's own form; empty if it may not be passed on. */
+    /** The endpoint list as discovery's JSON; empty unless it may be passed to other members. */
     byte[] confirmedEndpointList();
 }
--- a/src/main/java/cairnbridge/proxy/SiblingProcesses.java
+++ b/src/main/java/cairnbridge/proxy/SiblingProcesses.java
@@ -14,26 +14,27 @@
 import java.util.stream.Stream;
 
 /**
- * The other processes that serve at the same address. Each leaves marker files in a folder that all
- * share, named by its process id and its start. A marker counts while its process runs, so that one
- * left behind by a process that was killed has no effect.
+ * The other processes that serve at the same address. Each process writes marker files to a shared
+ * folder, named after its process id and its start time. A marker counts only while its process
+ * runs, so a marker left behind by a killed process has no effect.
  *
- * <p>The thread of the start, the scheduler, the admin endpoint and the thread that drains call it.
+ * <p>It is called by the threads that start and drain the proxy, by the scheduler and by the admin
+ * endpoint.
  */
 final class SiblingProcesses {
     private static final Logger LOG = Logger.getLogger(SiblingProcesses.class.getName());
-    private static final Pattern MARK_NAME =
+    private static final Pattern MARKER_NAME =
             Pattern.compile("(runs|ready)-([0-9]{1,18})-([0-9]{1,18})");
     private static final String RUNNING = "runs";
     private static final String READY = "ready";
-    private static final String UNFINISHED = "next";
+    private static final String TEMPORARY = "next";
 
     /**
      * The marker of another process.
      *
-     * @param ready whether it says that the process is ready, else that it runs
+     * @param ready whether the marker means that the process is ready, otherwise that it runs
      */
-    private record ProcessMark(boolean ready, long processId, long startedAtMillis, Path file) {}
+    private record ProcessMarker(boolean ready, long processId, long startedAtMillis, Path file) {}
 
     private final DeduplicatedLog deduplicatedLog = new DeduplicatedLog(LOG, "siblings");
     private final Optional<Path> sharedFolder;
@@ -41,7 +42,7 @@
     private final long startedAtMillis = System.currentTimeMillis();
 
     /**
-     * Marks nothing yet.
+     * Creates the view of the siblings, without writing a marker.
      *
      * @param sharedFolder empty if there is none: then this process has no siblings
      */
@@ -49,67 +50,68 @@
         this.sharedFolder = sharedFolder;
     }
 
-    /** From now on others know that this process runs. */
+    /** Writes the marker that this process runs. */
     void markRunning() {
-        writeMark(RUNNING);
+        writeMarker(RUNNING);
     }
 
-    /** From now on others know that this process is ready for clients. */
+    /** Writes the marker that this process is ready for clients. */
     void markReady() {
-        writeMark(READY);
+        writeMarker(READY);
     }
 
-    private Path markFile(Path shared, String kind) {
+    private Path markerFile(Path shared, String kind) {
         return shared.resolve(kind + "-" + processId + "-" + startedAtMillis);
     }
 
-    private void writeMark(String kind) {
+    private void writeMarker(String kind) {
         if (sharedFolder.isEmpty()) {
             return;
         }
         try {
-            Files.writeString(markFile(sharedFolder.get(), kind), "");
+            Files.writeString(markerFile(sharedFolder.get(), kind), "");
         } catch (IOException e) {
             deduplicatedLog.warnOnce("cannot create marker: {0}", e);
         }
     }
 
-    /** From now on others do not count on this process. */
-    void removeMarks() {
+    /** Deletes the markers of this process, so that others no longer count it. */
+    void removeMarkers() {
         if (sharedFolder.isEmpty()) {
             return;
         }
         for (String kind : List.of(RUNNING, READY)) {
             try {
-                Files.deleteIfExists(markFile(sharedFolder.get(), kind));
+                Files.deleteIfExists(markerFile(sharedFolder.get(), kind));
             } catch (IOException e) {
                 deduplicatedLog.warnOnce("cannot delete marker: {0}", e);
             }
         }
     }
 
-    /** Whether another process runs that shares this one's limits. */
+    /** Whether another process runs, which shares the limits of this one. */
     boolean hasSiblings() {
-        return !readMarks().isEmpty();
+        return !readMarkers().isEmpty();
     }
 
-    /** Whether a process that started later runs, ready or not. */
+    /** Whether a process that started later is running, ready or not. */
     boolean hasSuccessor() {
-        return readMarks().stream().anyMatch(mark -> mark.startedAtMillis > startedAtMillis);
+        return readMarkers().stream().anyMatch(marker -> marker.startedAtMillis > startedAtMillis);
     }
 
     /** Whether a process that started later is ready for all clients of the shared address. */
     boolean hasReadySuccessor() {
-        return readMarks().stream()
-                .anyMatch(mark -> mark.ready && mark.startedAtMillis > startedAtMillis);
+        return readMarkers().stream()
+                .anyMatch(marker -> marker.ready && marker.startedAtMillis > startedAtMillis);
     }
 
     /**
-     * Publishes how many descriptors this process has open, and returns how many the others have
-     * open together; 0 if there are none.
+     * Publishes the number of descriptors that this process has open, and returns the sum of the
+     * siblings' numbers; 0 without siblings.
      */
     int exchangeDescriptorCounts(int openDescriptors) {
-        List<ProcessMark> others = readMarks().stream().filter(mark -> !mark.ready).toList();
+        List<ProcessMarker> others =
+                readMarkers().stream().filter(marker -> !marker.ready).toList();
         if (others.isEmpty()) {
             return 0;
         }
@@ -118,48 +120,53 @@
         } catch (IOException e) {
             deduplicatedLog.warnOnce("cannot publish descriptor count: {0}", e);
         }
-        return others.stream().mapToInt(mark -> readDescriptorCount(mark.file)).sum();
+        return others.stream().mapToInt(marker -> readDescriptorCount(marker.file)).sum();
     }
 
-    /** Guards against a number that is read half written: it is put in place whole. */
+    /**
+     * Replaces the marker file atomically. Guards against a sibling that reads a half-written
+     * number.
+     */
     private void publishDescriptorCount(Path shared, int openDescriptors) throws IOException {
-        Path unfinished = markFile(shared, UNFINISHED);
-        Files.writeString(unfinished, Integer.toString(openDescriptors));
-        Files.move(unfinished, markFile(shared, RUNNING), StandardCopyOption.ATOMIC_MOVE);
+        Path temporary = markerFile(shared, TEMPORARY);
+        Files.writeString(temporary, Integer.toString(openDescriptors));
+        Files.move(temporary, markerFile(shared, RUNNING), StandardCopyOption.ATOMIC_MOVE);
     }
 
-    private int readDescriptorCount(Path mark) {
+    private int readDescriptorCount(Path marker) {
         try {
-            String text = Files.readString(mark);
-            return text.isEmpty() ? 0 : Integer.parseInt(text); // It has published none yet.
+            String text = Files.readString(marker);
+            return text.isEmpty()
+                    ? 0
+                    : Integer.parseInt(text); // Empty until the first publication.
         } catch (IOException | NumberFormatException e) {
             deduplicatedLog.warnOnce("cannot read marker: {0}", e);
             return 0;
         }
     }
 
-    private List<ProcessMark> readMarks() {
-        List<ProcessMark> marks = new ArrayList<>();
+    private List<ProcessMarker> readMarkers() {
+        List<ProcessMarker> markers = new ArrayList<>();
         if (sharedFolder.isEmpty()) {
-            return marks;
+            return markers;
         }
         try (Stream<Path> files = Files.list(sharedFolder.get())) {
-            files.forEach(file -> addMark(file, marks));
+            files.forEach(file -> addMarker(file, markers));
         } catch (IOException | UncheckedIOException e) {
             deduplicatedLog.warnOnce("cannot list markers: {0}", e);
         }
-        return marks;
+        return markers;
     }
 
-    private void addMark(Path file, List<ProcessMark> marks) {
-        Matcher name = MARK_NAME.matcher(file.getFileName().toString());
+    private void addMarker(Path file, List<ProcessMarker> markers) {
+        Matcher name = MARKER_NAME.matcher(file.getFileName().toString());
         if (!name.matches()) {
             return;
         }
         long markedProcessId = Long.parseLong(name.group(2));
         if (markedProcessId != processId && ProcessHandle.of(markedProcessId).isPresent()) {
-            marks.add(
-                    new ProcessMark(
+            markers.add(
+                    new ProcessMarker(
                             name.group(1).equals(READY),
                             markedProcessId,
                             Long.parseLong(name.group(3)),
--- a/src/main/java/cairnbridge/proxy/StatePersistence.java
+++ b/src/main/java/cairnbridge/proxy/StatePersistence.java
@@ -13,21 +13,21 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * What a proxy persists on its disk: the endpoint list, the nodes in maintenance, the fleet's
- * members and plan, and the trust in nodes. It is wired before the proxy starts; after that the
- * store's thread asks it for the state that is to be written.
+ * Persists a proxy's state on its disk: the endpoint list, the nodes in maintenance, the fleet's
+ * members and zone plan, and what was learnt about nodes. It is set up before the proxy starts;
+ * from then on the store's thread calls it for each snapshot.
  */
 final class StatePersistence implements Persistence {
     private final StateKeeper stateKeeper;
     private final RecoveryLink recoveryLink;
     private final EndpointListHistory endpointListHistory = new EndpointListHistory();
-    private final MaintenanceMarks maintenanceMarks;
+    private final MaintenanceMarkers maintenanceMarkers;
     private final RequestCoordinator coordinator;
 
-    /** Wires the parts of a proxy that is not started yet to what is persisted. */
+    /** Connects the components of a proxy, before its start, to the persisted state. */
     StatePersistence(ProxyComponents components, FleetConfig fleetConfig, StateKeeper stateKeeper) {
         this.stateKeeper = stateKeeper;
-        maintenanceMarks = components.maintenanceMarks();
+        maintenanceMarkers = components.maintenanceMarkers();
         coordinator = components.coordinator();
         long nowTicks = components.clock().now();
         MemberId self = fleetConfig.transport().identity().id();
@@ -45,7 +45,7 @@
         discoveryWatch.setHistory(endpointListHistory);
         discoveryWatch.setVersionFloor(stateKeeper.restored().endpointList().version());
         coordinator.setRecovery(recoveryLink);
-        maintenanceMarks.setStore(this::saveMaintenance);
+        maintenanceMarkers.setStore(this::saveMaintenance);
     }
 
     private CompletableFuture<Boolean> saveMaintenance(NodeId node, boolean inMaintenance) {
@@ -67,22 +67,23 @@
     }
 
     /**
-     * Nodes in maintenance are so again before the first request, or as soon as a slow disk gives
-     * them.
+     * Restores the nodes in maintenance before the first request. If the disk is too slow for that,
+     * they are restored once the store has read them.
      */
     @Override
     public void start(FleetMember member) {
         recoveryLink.setMember(member);
-        maintenanceMarks.restore(stateKeeper.restored().nodesInMaintenance());
+        maintenanceMarkers.restore(stateKeeper.restored().nodesInMaintenance());
         stateKeeper
                 .store()
-                .whenOpened(late -> maintenanceMarks.restore(late.logged().nodesInMaintenance()));
+                .whenOpened(
+                        state -> maintenanceMarkers.restore(state.logged().nodesInMaintenance()));
         stateKeeper.store().snapshotFrom(() -> snapshot(member));
     }
 
     /**
-     * Empty until the recovery is over: guards against state that is half known yet in place of
-     * what was known before, if the power is lost a second time.
+     * The state to persist; empty until the recovery is over. Guards against a second power loss
+     * during the recovery, after which incomplete state would have replaced the earlier state.
      */
     private Optional<PersistedState> snapshot(FleetMember member) {
         if (!recoveryLink.isOver()) {
@@ -93,7 +94,7 @@
                         0,
                         stateKeeper.generation(),
                         member.planEpoch(),
-                        maintenanceMarks.nodesInMaintenance());
+                        maintenanceMarkers.nodesInMaintenance());
         PersistedState.Content content =
                 new PersistedState.Content(
                         stateKeeper.bootId(),
--- a/src/main/java/cairnbridge/proxy/Warmup.java
+++ b/src/main/java/cairnbridge/proxy/Warmup.java
@@ -23,19 +23,20 @@
 import org.apache.hc.core5.http.message.BasicHttpRequest;
 
 /**
- * Runs the whole path of a request some hundred times before the proxy is ready, so that the first
- * clients do not pay for code that is not compiled yet. It has a coordinator of its own on a thread
- * of its own: client and cache are this proxy itself, over a listener of its own. Its requests are
- * recognised by a prefix of the trace id that no client can know.
+ * Sends some hundred requests through the whole request path before the proxy is ready, so that the
+ * first clients are not slowed down by code that is not compiled yet. It uses a separate
+ * coordinator on a separate thread, and a separate listener at which this proxy also acts as cache
+ * and origin. Its requests are recognised by a trace id prefix that no client can know.
  *
- * <p>The thread of the start runs it; the reactor's thread answers its requests and sends the next.
+ * <p>The thread that starts the proxy runs it. The reactor's thread answers its requests and sends
+ * the next ones.
  */
 final class Warmup {
     private static final int MAX_REQUESTS = 1000;
 
     /**
-     * The more proxies there are, the fewer requests one has to expect at once, and the more wait
-     * for its start.
+     * The warm-up requests of all proxies together. In a larger fleet, each proxy gets fewer client
+     * requests right after its start, and more proxies wait for that start.
      */
     private static final int REQUESTS_OF_ALL_PROXIES = 1500;
 
@@ -48,7 +49,10 @@
     private static final NodeId CACHE = new NodeId(1);
     private static final NodeId ORIGIN = new NodeId(2);
 
-    /** Misses and writes take other paths: each is one kind of these, a quarter of the requests. */
+    /**
+     * The number of request kinds, with equal shares of the requests. Misses and writes take other
+     * code paths than hits: each is one kind, a quarter of the requests.
+     */
     private static final int REQUEST_KINDS = 4;
 
     private static final int MISS_KIND = 1;
@@ -59,8 +63,8 @@
     private final ProxyConfig config;
     private final EventQueue eventQueue = new EventQueue(EVENTS_PER_REQUEST * MAX_REQUESTS);
 
-    /** How often a request was seen, by its trace id. */
-    private final Map<String, Integer> sightings = new ConcurrentHashMap<>();
+    /** How many times each request was received, by its trace id. */
+    private final Map<String, Integer> receiptsByTraceId = new ConcurrentHashMap<>();
 
     private final AtomicInteger remainingRequests;
     private final CountDownLatch clientsFinished = new CountDownLatch(CLIENTS);
@@ -68,31 +72,32 @@
     private final String traceIdPrefix = "warm-" + Long.toHexString(System.nanoTime()) + "-";
 
     /**
-     * Sends nothing yet.
+     * Creates a warm-up, which {@link #run} runs.
      *
-     * @param hurried whether no other process serves meanwhile at the address of this proxy
+     * @param onlyProcess whether no other process serves at this proxy's address meanwhile, so that
+     *     the warm-up has to be short
      */
     Warmup(
             ProxyConfig config,
             ConnectionReactor reactor,
             ListenerState listenerState,
-            boolean hurried) {
+            boolean onlyProcess) {
         this.config = config;
         this.reactor = reactor;
         this.listenerState = listenerState;
         int shareOfRequests = REQUESTS_OF_ALL_PROXIES / config.settings().proxy().count();
-        int hurriedRequests = Math.max(MIN_REQUESTS, Math.min(MAX_REQUESTS, shareOfRequests));
-        remainingRequests = new AtomicInteger(hurried ? hurriedRequests : MAX_REQUESTS);
+        int reducedRequests = Math.max(MIN_REQUESTS, Math.min(MAX_REQUESTS, shareOfRequests));
+        remainingRequests = new AtomicInteger(onlyProcess ? reducedRequests : MAX_REQUESTS);
     }
 
-    /** Returns when all requests are answered, or when time is up. */
+    /** Returns once all requests are answered, or after a time limit. */
     void run() throws IOException, InterruptedException {
         int descriptorsBefore = reactor.openDescriptors();
         RequestCoordinator coordinator = createCoordinator();
         Thread owner = new Thread(coordinator, "warm");
         owner.start();
-        // Guards against a warm-up that reaches another process, which listens at the clients'
-        // address too.
+        // Guards against warm-up requests that reach another process: siblings listen on the
+        // clients' address as well.
         Acceptor acceptor =
                 reactor.createAcceptor(
                         new InetSocketAddress(config.network().listen().getAddress(), 0));
@@ -106,15 +111,16 @@
         for (int i = 0; i < CLIENTS; i++) {
             new WarmupClient(proxyAddress).sendNext();
         }
-        // Whether all are answered or time is up, the proxy starts.
+        // The proxy starts whether or not all requests were answered in time.
         boolean unused = clientsFinished.await(MAX_MILLIS, TimeUnit.MILLISECONDS);
         remainingRequests.set(0);
-        // For the requests that are under way as time is up.
+        // Waits for the requests that are in flight at the time limit.
         unused = clientsFinished.await(FINISH_MILLIS, TimeUnit.MILLISECONDS);
         finished = true;
         acceptor.stop();
-        // Guards against connections to itself that stay open, and count, until they are idle for
-        // too long: those to nodes that are gone are closed at once.
+        // Guards against connections of the proxy to itself that stay open, and count as
+        // descriptors
+        // in use, until their idle timeout: connections to removed nodes are closed at once.
         postEndpointList(listedNodes(NodeState.GONE), Map.of());
         coordinator.stopWhenDrained();
         owner.join();
@@ -122,8 +128,8 @@
     }
 
     /**
-     * Returns once the reactor has closed the warm-up's connections; where clients have come
-     * meanwhile, which count as well, after a short time.
+     * Waits until the reactor has closed the warm-up's connections. The wait is bounded, because
+     * client connections that were opened meanwhile count as well.
      */
     private void awaitClosed(int descriptorsBefore) throws InterruptedException {
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(FINISH_MILLIS);
@@ -168,18 +174,18 @@
     }
 
     /**
-     * Answers a request of the warm-up. The first time it comes from the client, and goes to the
-     * coordinator; then it comes from the attempts, the first of which is a miss for a quarter of
-     * the requests.
+     * Answers a warm-up request. When it is received first, it comes from the warm-up's client and
+     * is passed to the coordinator. After that it comes from the coordinator's attempts; the first
+     * attempt of a quarter of the requests is answered as a miss.
      */
     void answerWarmup(ClientExchange exchange, long deadlineTicks) {
-        // Guards against a late one being taken for a client's: no cache may ever see it.
-        int sighting = finished ? 0 : sightings.merge(exchange.traceId, 1, Integer::sum);
-        if (sighting == 0) {
+        // Guards against a late warm-up request that is handled as a client's and reaches a cache.
+        int receipt = finished ? 0 : receiptsByTraceId.merge(exchange.traceId, 1, Integer::sum);
+        if (receipt == 0) {
             exchange.rejectRetryable(1);
-        } else if (sighting == 2 && !exchange.write && requestKind(exchange.traceId) == MISS_KIND) {
+        } else if (receipt == 2 && !exchange.write && requestKind(exchange.traceId) == MISS_KIND) {
             exchange.answerNotFound();
-        } else if (sighting == 1) {
+        } else if (receipt == 1) {
             eventQueue.requestArrived(exchange, deadlineTicks);
         } else {
             exchange.answerSuccess(VALUE);
@@ -190,7 +196,7 @@
         return traceId.charAt(traceId.length() - 1) % REQUEST_KINDS;
     }
 
-    /** One client, with one request at a time; used by one thread at a time. */
+    /** A client with one request in flight at a time; used by one thread at a time. */
     private final class WarmupClient {
         private final InetSocketAddress proxyAddress;
         private WarmupRequest latestRequest;
@@ -246,7 +252,7 @@
 
             @Override
             void onStatus(int code) {
-                // Whatever the answer, its path was run.
+                // Any status will do: the request path was run.
             }
 
             @Override
--- a/src/main/java/cairnbridge/proxy/package-info.java
+++ b/src/main/java/cairnbridge/proxy/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The proxy process: client and server connections on one reactor, the thread that owns the
- * decision module, discovery, the links to fleet and recovery, start, reload, drain and end.
+ * The proxy process: client and upstream connections on one I/O reactor, the owner thread that runs
+ * the request coordinator and its decision module, the discovery watch, the links to the fleet and
+ * to the recovery from a power loss, and the process's start, reload, drain and stop.
  */
 package cairnbridge.proxy;
