--- a/src/main/java/cairnbridge/proxy/ConfigurationReload.java
+++ b/src/main/java/cairnbridge/proxy/ConfigurationReload.java
@@ -18,7 +18,7 @@
     private final DiscoveryWatch discoveryWatch;
 
     /**
-     * Creates a reload that {@link #reload} runs.
+     * Creates the reload of one proxy, which {@link #reload} runs.
      *
      * @param proxyName the proxy's name in log lines
      */
--- a/src/main/java/cairnbridge/proxy/CriticalThreads.java
+++ b/src/main/java/cairnbridge/proxy/CriticalThreads.java
@@ -6,8 +6,8 @@
 
 /**
  * Creates the threads without which a proxy cannot work. If one of them ends before the proxy is
- * stopping, that is logged and the handler of fatal errors runs on the ending thread. Any thread may
- * call this class.
+ * stopping, that is logged and the handler of fatal errors runs on the ending thread. Any thread
+ * may call this class.
  */
 final class CriticalThreads implements ThreadFactory {
     private static final Logger LOG = Logger.getLogger(CriticalThreads.class.getName());
--- a/src/main/java/cairnbridge/proxy/DeduplicatedLog.java
+++ b/src/main/java/cairnbridge/proxy/DeduplicatedLog.java
@@ -19,7 +19,7 @@
     private final Set<String> reported = new HashSet<>();
 
     /**
-     * Creates a log without any warning reported.
+     * Creates the log; no warning counts as reported.
      *
      * @param prefix the start of each line, followed by a colon
      */
@@ -31,8 +31,8 @@
     /**
      * Logs a warning, unless the same text was logged before or the limit is reached.
      *
-     * @param message a {@link MessageFormat} pattern if there are parameters, otherwise the text
-     *     itself
+     * @param message a text with {0}, {1} and so on for the parameters; plain text if there are
+     *     none
      */
     void warnOnce(String message, Object... parameters) {
         String text = parameters.length == 0 ? message : MessageFormat.format(message, parameters);
--- a/src/main/java/cairnbridge/proxy/DiscoveryWatch.java
+++ b/src/main/java/cairnbridge/proxy/DiscoveryWatch.java
@@ -135,10 +135,10 @@
     }
 
     /**
-     * Waits until the first list from discovery is queued for the owner thread, or until discovery
-     * has none or cannot be reached. Guards against requests routed by the configuration's outdated
-     * list: a change that discovery has already published has to be followed from the first request
-     * on.
+     * Waits until the first list from discovery is queued for the owner thread, or until it is
+     * clear that discovery has none or cannot be reached. Guards against requests routed by the
+     * configuration's outdated list: a change that discovery has published before the start has to
+     * apply to the first request.
      */
     void awaitFirstList() throws InterruptedException {
         firstResult.await(
@@ -523,10 +523,10 @@
         private volatile long lastReceivedNanos = startedAtNanos;
         private volatile int statusCode;
 
-        DiscoveryCall(InetSocketAddress address, String target, boolean standing) {
+        DiscoveryCall(InetSocketAddress address, String target, boolean isWatch) {
             super(address, target);
             this.address = address;
-            this.isWatch = standing;
+            this.isWatch = isWatch;
         }
 
         @Override
@@ -534,8 +534,7 @@
             statusCode = status;
             lastReceivedNanos = System.nanoTime();
             // Discovery sends a pending list together with the response head. If no list has
-            // arrived
-            // a check interval later, there is nothing to wait for.
+            // arrived a check interval later, there is none to wait for.
             scheduler.schedule(
                     firstResult::countDown,
                     TimeBudget.CHECK_INTERVAL_MILLIS,
--- a/src/main/java/cairnbridge/proxy/FleetLink.java
+++ b/src/main/java/cairnbridge/proxy/FleetLink.java
@@ -45,7 +45,7 @@
     private volatile boolean zonePlansEnabled;
 
     /**
-     * Creates a link without a member, which {@link #setMember} sets.
+     * Creates a link whose fleet member is set by {@link #setMember}.
      *
      * @param recovery null if nothing is persisted across a power loss
      */
@@ -141,7 +141,7 @@
         return recovery.confirmedEndpointList();
     }
 
-    /** Numbers of requests since the start, by where zone plans placed them; any thread. */
+    /** The numbers of requests since the start, by where zone plans placed them; any thread. */
     Map<String, Long> placementMetrics() {
         return Map.of(
                 "zones.near_total",
--- a/src/main/java/cairnbridge/proxy/MaintenanceMarkers.java
+++ b/src/main/java/cairnbridge/proxy/MaintenanceMarkers.java
@@ -20,12 +20,12 @@
 import java.util.stream.Stream;
 
 /**
- * The nodes that operators have taken into maintenance. Each is a marker file in a folder that a
- * process shares with its successor, so that both agree without a lock. The coordinator receives
- * changes in the order in which they are made.
+ * The nodes that operators have taken into maintenance. Each node has a marker file in a folder
+ * that a process shares with its successor, so that both agree without a lock. The coordinator
+ * receives changes in the order in which they are made.
  *
- * <p>The admin endpoint sets nodes, the scheduler refreshes, and the store's thread restores; all
- * of them synchronise on this object.
+ * <p>The admin endpoint changes nodes, the scheduler refreshes, and the store's thread restores;
+ * all of them synchronise on this object.
  */
 final class MaintenanceMarkers {
     private static final Logger LOG = Logger.getLogger(MaintenanceMarkers.class.getName());
@@ -135,7 +135,7 @@
                 CompletableFuture.delayedExecutor(SIBLING_REFRESH_MILLIS, TimeUnit.MILLISECONDS));
     }
 
-    /** Returns nodes to the maintenance that they were in before a power loss. */
+    /** Takes nodes that were in maintenance before a power loss back into maintenance. */
     synchronized void restore(List<Long> nodeIds) {
         for (long nodeId : nodeIds) {
             NodeId node = new NodeId(nodeId);
--- a/src/main/java/cairnbridge/proxy/Persistence.java
+++ b/src/main/java/cairnbridge/proxy/Persistence.java
@@ -12,7 +12,7 @@
     /** Connects the proxy to its recovery from a power loss; empty if there is no recovery. */
     Optional<RecoveryLink> recoveryLink();
 
-    /** The persisted epoch of zone plans and the store for new ones, for the fleet member. */
+    /** The persisted epoch of zone plans, and where the fleet member persists new epochs. */
     FleetMember.PlanEpochs planEpochs();
 
     /** Restores the persisted state and starts to persist; called once, before the proxy starts. */
--- a/src/main/java/cairnbridge/proxy/ProxyComponents.java
+++ b/src/main/java/cairnbridge/proxy/ProxyComponents.java
@@ -59,8 +59,7 @@
         DiscoveryWatch discoveryWatch =
                 new DiscoveryWatch(config, reactor, eventQueue, scheduler, metrics);
         // Guards against rejecting, and so losing, a maintenance change while a starting process
-        // has
-        // no endpoint list: until then every node counts as listed.
+        // has no endpoint list: until it has one, every node counts as listed.
         MaintenanceMarkers maintenanceMarks =
                 new MaintenanceMarkers(
                         config.stateFolder(),
--- a/src/main/java/cairnbridge/proxy/ProxyServer.java
+++ b/src/main/java/cairnbridge/proxy/ProxyServer.java
@@ -104,10 +104,8 @@
         ownerThread.start();
         startAdminServer();
         // Guards against refused connections while a restarted proxy warms up: it listens before
-        // its
-        // warm-up. If a sibling serves meanwhile, it listens only afterwards, so that no client
-        // gets
-        // a cold process.
+        // its warm-up. If a sibling serves meanwhile, it listens only afterwards, so that no
+        // client reaches a process that is not warmed up.
         boolean hasSiblings = siblings.hasSiblings();
         siblings.markRunning();
         reactor.start();
--- a/src/main/java/cairnbridge/proxy/SiblingProcesses.java
+++ b/src/main/java/cairnbridge/proxy/SiblingProcesses.java
@@ -42,7 +42,7 @@
     private final long startedAtMillis = System.currentTimeMillis();
 
     /**
-     * Creates the view of the siblings, without writing a marker.
+     * Creates the object without writing a marker.
      *
      * @param sharedFolder empty if there is none: then this process has no siblings
      */
@@ -89,7 +89,7 @@
         }
     }
 
-    /** Whether another process runs, which shares the limits of this one. */
+    /** Whether another process runs at the same address, and so shares this one's limits. */
     boolean hasSiblings() {
         return !readMarkers().isEmpty();
     }
--- a/src/main/java/cairnbridge/proxy/Warmup.java
+++ b/src/main/java/cairnbridge/proxy/Warmup.java
@@ -35,8 +35,8 @@
     private static final int MAX_REQUESTS = 1000;
 
     /**
-     * The warm-up requests of all proxies together. In a larger fleet, each proxy gets fewer client
-     * requests right after its start, and more proxies wait for that start.
+     * The number of warm-up requests that the configured proxies share. With more proxies, each one
+     * has to expect fewer client requests at once, and more proxies wait for its start.
      */
     private static final int REQUESTS_OF_ALL_PROXIES = 1500;
 
@@ -119,8 +119,8 @@
         finished = true;
         acceptor.stop();
         // Guards against connections of the proxy to itself that stay open, and count as
-        // descriptors
-        // in use, until their idle timeout: connections to removed nodes are closed at once.
+        // descriptors in use, until their idle timeout: connections to removed nodes are closed at
+        // once.
         postEndpointList(listedNodes(NodeState.GONE), Map.of());
         coordinator.stopWhenDrained();
         owner.join();
