--- a/src/main/java/cairnbridge/proxy/ConfigurationReload.java
+++ b/src/main/java/cairnbridge/proxy/ConfigurationReload.java
@@ -18,7 +18,7 @@
     private final DiscoveryWatch discoveryWatch;
 
     /**
-     * Creates the reload of one proxy, which {@link #reload} runs.
+     * Creates the reload of one proxy's configuration.
      *
      * @param proxyName the proxy's name in log lines
      */
--- a/src/main/java/cairnbridge/proxy/CriticalThreads.java
+++ b/src/main/java/cairnbridge/proxy/CriticalThreads.java
@@ -17,7 +17,7 @@
     private volatile boolean stopping;
 
     /**
-     * Creates the factory, without threads.
+     * Creates a factory for the critical threads of one proxy.
      *
      * @param proxyName the proxy's name in log lines
      * @param onFatalError runs on each thread that ends before the proxy is stopping
@@ -55,7 +55,7 @@
         stopping = true;
     }
 
-    /** Whether threads may end because the proxy is stopping. */
+    /** Whether the proxy is stopping, so that a thread that ends is no error. */
     boolean isStopping() {
         return stopping;
     }
--- a/src/main/java/cairnbridge/proxy/DeduplicatedLog.java
+++ b/src/main/java/cairnbridge/proxy/DeduplicatedLog.java
@@ -19,7 +19,7 @@
     private final Set<String> reported = new HashSet<>();
 
     /**
-     * Creates the log; no warning counts as reported.
+     * Creates a log that has not reported any warning.
      *
      * @param prefix the start of each line, followed by a colon
      */
--- a/src/main/java/cairnbridge/proxy/DiscoveryWatch.java
+++ b/src/main/java/cairnbridge/proxy/DiscoveryWatch.java
@@ -201,8 +201,8 @@
     }
 
     /**
-     * Uses a list that did not come from discovery, until discovery sends one. The text has the
-     * form of discovery's own messages.
+     * Uses a list that did not come from discovery, until discovery sends one. The text is JSON in
+     * the form of discovery's messages.
      */
     void usePersistedList(String text) {
         scheduler.execute(
--- a/src/main/java/cairnbridge/proxy/FleetLink.java
+++ b/src/main/java/cairnbridge/proxy/FleetLink.java
@@ -38,7 +38,7 @@
     private final EventQueue eventQueue;
     private final RecoveryStatus recovery;
 
-    /** Empty while the member is being created, which already requests an announcement. */
+    /** Empty while the member is being created, whose constructor already calls this link. */
     private volatile Optional<FleetMember> fleetMember = Optional.empty();
 
     /** Whether zone plans are in use. */
--- a/src/main/java/cairnbridge/proxy/Persistence.java
+++ b/src/main/java/cairnbridge/proxy/Persistence.java
@@ -18,10 +18,10 @@
     /** Restores the persisted state and starts to persist; called once, before the proxy starts. */
     void start(FleetMember member);
 
-    /** The metrics by name; any thread may call it. */
+    /** The metrics of the recovery and of the state store, by name; any thread may call it. */
     Map<String, Long> metrics();
 
-    /** The progress of the recovery, as text for operators; any thread may call it. */
+    /** The recovery's status for operators, empty without a recovery; any thread may call it. */
     Optional<String> recoveryStatus();
 
     /** Stops persisting, and waits until pending writes are complete. */
--- a/src/main/java/cairnbridge/proxy/ProxyComponents.java
+++ b/src/main/java/cairnbridge/proxy/ProxyComponents.java
@@ -60,7 +60,7 @@
                 new DiscoveryWatch(config, reactor, eventQueue, scheduler, metrics);
         // Guards against rejecting, and so losing, a maintenance change while a starting process
         // has no endpoint list: until it has one, every node counts as listed.
-        MaintenanceMarkers maintenanceMarks =
+        MaintenanceMarkers maintenanceMarkers =
                 new MaintenanceMarkers(
                         config.stateFolder(),
                         eventQueue,
@@ -89,7 +89,7 @@
                 reactor,
                 scheduler,
                 discoveryWatch,
-                maintenanceMarks,
+                maintenanceMarkers,
                 coordinator);
     }
 
--- a/src/main/java/cairnbridge/proxy/RecoveryLink.java
+++ b/src/main/java/cairnbridge/proxy/RecoveryLink.java
@@ -34,7 +34,7 @@
 final class RecoveryLink implements RecoveryHost, RecoveryListener, RecoveryStatus {
     private static final Logger LOG = Logger.getLogger(RecoveryLink.class.getName());
 
-    /** The status of the recovery, for other threads than the owner thread. */
+    /** The status of the recovery as other threads than the owner thread read it. */
     private record PublishedStatus(
             RecoveryPhase phase,
             int originLimit,
@@ -248,7 +248,7 @@
                 Math.max(stateKeeper.restored().epochFloor(), planEpoch));
     }
 
-    /** Only a list that discovery has confirmed is passed on to other members. */
+    /** Empty for a list that is not confirmed, so that other members do not get it. */
     @Override
     public byte[] confirmedEndpointList() {
         return published.endpointListConfirmed()
@@ -265,7 +265,7 @@
         return status.phase() == RecoveryPhase.SERVE_ALL;
     }
 
-    /** The status for operators, one line per item. */
+    /** The recovery's status for operators, as lines of text. */
     String statusText() {
         StringBuilder text = new StringBuilder();
         published.statusLines().forEach(line -> text.append(line).append('\n'));
--- a/src/main/java/cairnbridge/proxy/SiblingProcesses.java
+++ b/src/main/java/cairnbridge/proxy/SiblingProcesses.java
@@ -42,7 +42,7 @@
     private final long startedAtMillis = System.currentTimeMillis();
 
     /**
-     * Creates the object without writing a marker.
+     * Writes no marker yet; {@link #markRunning} does.
      *
      * @param sharedFolder empty if there is none: then this process has no siblings
      */
--- a/src/main/java/cairnbridge/proxy/Warmup.java
+++ b/src/main/java/cairnbridge/proxy/Warmup.java
@@ -174,18 +174,22 @@
     }
 
     /**
-     * Answers a warm-up request. When it is received first, it comes from the warm-up's client and
-     * is passed to the coordinator. After that it comes from the coordinator's attempts; the first
+     * Answers a warm-up request. On its first receipt it comes from the warm-up's client and is
+     * passed to the coordinator. After that it comes from the coordinator's attempts; the first
      * attempt of a quarter of the requests is answered as a miss.
      */
     void answerWarmup(ClientExchange exchange, long deadlineTicks) {
-        // Guards against a late warm-up request that is handled as a client's and reaches a cache.
-        int receipt = finished ? 0 : receiptsByTraceId.merge(exchange.traceId, 1, Integer::sum);
-        if (receipt == 0) {
+        // Guards against a late warm-up request that is handled as a client's and reaches a cache:
+        // after the warm-up it is rejected.
+        int timesReceived =
+                finished ? 0 : receiptsByTraceId.merge(exchange.traceId, 1, Integer::sum);
+        if (timesReceived == 0) {
             exchange.rejectRetryable(1);
-        } else if (receipt == 2 && !exchange.write && requestKind(exchange.traceId) == MISS_KIND) {
+        } else if (timesReceived == 2
+                && !exchange.write
+                && requestKind(exchange.traceId) == MISS_KIND) {
             exchange.answerNotFound();
-        } else if (receipt == 1) {
+        } else if (timesReceived == 1) {
             eventQueue.requestArrived(exchange, deadlineTicks);
         } else {
             exchange.answerSuccess(VALUE);
