--- a/src/main/java/cairnbridge/proxy/Acceptor.java
+++ b/src/main/java/cairnbridge/proxy/Acceptor.java
@@ -17,24 +17,25 @@
 import java.util.logging.Logger;
 
 /**
- * Accepts connections on a thread of its own. Another process may listen on the same address: the
- * one that stops first accepts all that wait in its queue, as what is left in the queue of a closed
- * socket is reset. {@link ConnectionDiverter} keeps new ones from coming meanwhile.
+ * Accepts connections on its own thread. Another process may listen on the same address. When a
+ * listener closes, the system resets the connections that are left in its accept queue; {@link
+ * #stop} therefore accepts all of them first. {@link ConnectionDiverter} directs new connections to
+ * the other process meanwhile.
  */
 public final class Acceptor implements Runnable {
     private static final Logger LOG = Logger.getLogger(Acceptor.class.getName());
     private static final long BACKPRESSURE_PAUSE_NANOS = TimeUnit.MICROSECONDS.toNanos(200);
     private static final long ERROR_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
 
-    /** For how long a failing accept is repeated before the listener is closed. */
-    private static final long LAST_ACCEPT_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+    /** How long accepting is retried after a failure before the listener is closed. */
+    private static final long FINAL_ACCEPT_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
     private static final int PROBE_TIMEOUT_MILLIS = 500;
     private static final int NO_PROBE = -1;
 
-    /** Takes the next connection from the queue of a listener. */
+    /** Accepts the next connection from the queue of a listener. */
     interface AcceptCall {
-        /** The next connection; null if there is none. */
+        /** Returns the next connection, or null if the queue is empty. */
         SocketChannel accept(ServerSocketChannel listener) throws IOException;
     }
 
@@ -46,10 +47,10 @@
     private final CountDownLatch closed = new CountDownLatch(1);
     private volatile boolean stopped;
 
-    /** Counts how often the queue was found empty. */
+    /** How often the accept queue was found empty. */
     private final AtomicInteger emptyQueueCount = new AtomicInteger();
 
-    /** The local port of the connection that {@link #receivesNewConnections} makes. */
+    /** The local port of the connection that {@link #receivesNewConnections} opens. */
     private volatile int probePort = NO_PROBE;
 
     private volatile boolean probeAccepted;
@@ -57,10 +58,10 @@
     /**
      * Opens the listener; connections are accepted once {@link #run} is called.
      *
-     * @param backlog the most connections that wait in the system's queue
-     * @param canAccept asked before each connection; while false, none is accepted unless the
-     *     acceptor has been stopped
-     * @param channelHandler given each connection, on the acceptor's thread
+     * @param backlog the capacity of the system's accept queue
+     * @param canAccept checked before each accept; while it is false, connections stay in the queue
+     *     unless the acceptor has been stopped
+     * @param channelHandler called with each connection, on the acceptor's thread
      * @throws IOException if the address cannot be listened on
      */
     Acceptor(
@@ -86,16 +87,17 @@
         serverChannel = ListeningSocket.open(address, backlog, true, selector);
     }
 
-    /** The address it listens on. */
+    /** The local address of the listener. */
     public InetSocketAddress address() throws IOException {
         return (InetSocketAddress) serverChannel.getLocalAddress();
     }
 
     /**
-     * Whether this listener, and not another one on its address, is given new connections: makes
-     * one, which it then handles like any other. Called while {@link #run} runs, on another thread.
+     * Whether the system gives new connections to this listener and not to another one on the same
+     * address. Opens a connection to find out, which is then handled like any other. Called on
+     * another thread than {@link #run}, while that runs.
      *
-     * @throws IOException if no connection can be made to the address
+     * @throws IOException if the address does not accept a connection
      */
     boolean receivesNewConnections() throws IOException, InterruptedException {
         probeAccepted = false;
@@ -110,15 +112,15 @@
         }
     }
 
-    /** Returns once the queue was empty after this call, as seen by two looks in turn. */
+    /** Returns once the queue has been found empty twice since the call. */
     private void awaitEmptyQueue() throws IOException, InterruptedException {
         long deadlineNanos =
                 System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PROBE_TIMEOUT_MILLIS);
-        int looksBefore = emptyQueueCount.get();
-        // The first look may have begun before this call.
-        while (emptyQueueCount.get() - looksBefore < 2) {
+        int emptyCountBefore = emptyQueueCount.get();
+        // The first of the two checks may have begun before this call.
+        while (emptyQueueCount.get() - emptyCountBefore < 2) {
             if (System.nanoTime() - deadlineNanos > 0) {
-                throw new IOException("the queue of the listener does not become empty");
+                throw new IOException("timed out waiting for the accept queue to become empty");
             }
             selector.wakeup();
             Thread.sleep(1);
@@ -126,8 +128,8 @@
     }
 
     /**
-     * Accepts what waits in the system's queue and closes the listener; returns once that is done.
-     * Called on another thread than {@link #run}.
+     * Accepts the connections in the system's queue, closes the listener, and returns once both are
+     * done. Called on another thread than {@link #run}.
      */
     public void stop() throws InterruptedException {
         if (!stopped) {
@@ -146,7 +148,7 @@
                 selector.selectedKeys().clear();
                 acceptAll();
             }
-            acceptLast();
+            acceptRemainingAndClose();
         } catch (IOException e) {
             LOG.log(Level.SEVERE, "accepting has ended", e);
         } finally {
@@ -155,14 +157,15 @@
     }
 
     /**
-     * Guards against a client reset in the queue: what a selector knows stays open until that
-     * selects again, and takes clients; so its key is cancelled first, and the listener is closed
-     * right behind the last accept.
+     * Guards against a reset of connections in the queue: a listener that is registered with a
+     * selector stays open after its close, and receives connections, until the selector selects
+     * again. Its key is therefore cancelled first, and the listener is closed directly after the
+     * last accept.
      */
-    private void acceptLast() throws IOException {
+    private void acceptRemainingAndClose() throws IOException {
         serverChannel.keyFor(selector).cancel();
         selector.selectNow();
-        long deadlineNanos = System.nanoTime() + LAST_ACCEPT_NANOS;
+        long deadlineNanos = System.nanoTime() + FINAL_ACCEPT_TIMEOUT_NANOS;
         boolean emptied = acceptAll();
         while (!emptied && System.nanoTime() - deadlineNanos < 0) {
             emptied = acceptAll();
@@ -170,24 +173,24 @@
         serverChannel.close();
     }
 
-    /** Accepts what waits in the queue; false if an accept failed, and more may wait. */
+    /** Accepts all connections in the queue; false if an accept failed and some may be left. */
     private boolean acceptAll() {
         try {
             for (SocketChannel next = acceptNext(); next != null; next = acceptNext()) {
-                noteProbe(next);
+                recordProbe(next);
                 channelHandler.accept(next);
             }
             emptyQueueCount.incrementAndGet();
             return true;
         } catch (IOException e) {
-            // Guards against a thread that ends, or spins, while the process is out of descriptors.
+            // Guards against a thread that ends, or busy-loops, while no descriptor is free.
             LOG.log(Level.WARNING, "accept: {0}", e.toString());
             LockSupport.parkNanos(ERROR_PAUSE_NANOS);
             return false;
         }
     }
 
-    /** Null if there is no connection to accept. */
+    /** Waits until a connection may be accepted; null if there is none. */
     private SocketChannel acceptNext() throws IOException {
         while (!stopped && !canAccept.getAsBoolean()) {
             LockSupport.parkNanos(BACKPRESSURE_PAUSE_NANOS);
@@ -195,7 +198,7 @@
         return acceptCall.accept(serverChannel);
     }
 
-    private void noteProbe(SocketChannel accepted) {
+    private void recordProbe(SocketChannel accepted) {
         int expectedPort = probePort;
         if (expectedPort != NO_PROBE && accepted.socket().getPort() == expectedPort) {
             probeAccepted = true;
--- a/src/main/java/cairnbridge/proxy/BodyPipe.java
+++ b/src/main/java/cairnbridge/proxy/BodyPipe.java
@@ -10,17 +10,17 @@
 import org.apache.hc.core5.http.nio.DataStreamChannel;
 
 /**
- * A body that is streamed from one connection to another: a ring of the bytes that its producer has
- * appended and its consumer has not yet written. The producer is granted no more capacity once the
- * window is full. Producer and consumer may be on different threads, and any thread may ask for the
- * state. Guards against two threads that wait for one another: no lock is held while a connection
- * is called, as those have locks of their own.
+ * A body that is streamed from one connection to another: a ring buffer of the bytes that the
+ * producer has appended and the consumer has not written yet. The producer is granted no more
+ * capacity while the window is full. Producer and consumer may run on different threads, and any
+ * thread may query the state. Guards against a deadlock: no lock is held during a call to a
+ * connection, because connections use locks as well.
  */
 public final class BodyPipe implements MessageBody {
-    /** What one pipe may buffer. */
+    /** The most that one pipe buffers. */
     static final int WINDOW_BYTES = 64 * 1024;
 
-    /** What one pipe may buffer while all together buffer more than {@link #MAX_TOTAL_BYTES}. */
+    /** The same while all pipes together buffer more than {@link #MAX_TOTAL_BYTES}. */
     static final int NARROW_WINDOW_BYTES = 8 * 1024;
 
     static final int MAX_TOTAL_BYTES = 6 << 20;
@@ -28,7 +28,8 @@
     private static final int INITIAL_BYTES = 4096;
 
     /**
-     * Guards against a slow reader cut off: its system asks for more only once megabytes are free.
+     * Guards against disconnecting a slow reader: its TCP stack may accept more data only once
+     * megabytes of its buffer are free.
      */
     private static final long CONSUMER_STALL_NANOS = 60_000_000_000L;
 
@@ -65,37 +66,40 @@
     private boolean writing;
 
     @GuardedBy("this")
-    private boolean lastChunkInWriting;
+    private boolean writingLastChunk;
 
-    /** The producer's, while it waits for capacity; else null. */
+    /** The producer's capacity channel while it waits for capacity; otherwise null. */
     @GuardedBy("this")
     private CapacityChannel waitingProducer;
 
-    /** Null until the consumer has written for the first time. */
+    /** The connection that the body is written to; null until the first write. */
     @GuardedBy("this")
     private DataStreamChannel consumer;
 
     private volatile long lastProgressNanos = System.nanoTime();
 
     /**
-     * An empty pipe.
+     * Creates an empty pipe.
      *
-     * @param totalBytes counts what the pipes of one proxy buffer together
-     * @param lengthBytes the length of the body; negative if the producer does not say
+     * @param totalBytes counts the bytes that all pipes of the proxy buffer
+     * @param lengthBytes the length of the body; negative if it is unknown
      */
     public BodyPipe(AtomicLong totalBytes, long lengthBytes) {
         this.totalBytes = totalBytes;
         this.lengthBytes = lengthBytes;
     }
 
-    /** True for the first caller: a streamed body can be sent once. */
+    /** True for the first caller only: a streamed body can be sent only once. */
     public synchronized boolean tryClaim() {
         boolean first = !claimed;
         claimed = true;
         return first;
     }
 
-    /** Takes all that is there; the window is kept by the capacity that the producer is granted. */
+    /**
+     * Appends all bytes of the source. The window is not checked here: it limits the capacity that
+     * the producer is granted.
+     */
     public void append(ByteBuffer source) {
         enqueue(source);
         wakeConsumer();
@@ -130,7 +134,7 @@
         readIndex = 0;
     }
 
-    /** The producer has used up its capacity, and is granted more once there is room. */
+    /** Called when the producer has used up its capacity; grants more once there is room. */
     public void requestCapacity(CapacityChannel producer) throws IOException {
         synchronized (this) {
             waitingProducer = producer;
@@ -138,7 +142,7 @@
         grantCapacity();
     }
 
-    /** Guards against a trickle of small grants: more only once half the window is free. */
+    /** Guards against many small grants: grants capacity only once half the window is free. */
     private void grantCapacity() throws IOException {
         CapacityChannel producer;
         int grantedBytes;
@@ -157,23 +161,23 @@
         }
     }
 
-    /** Whether the producer waits for the consumer. */
+    /** Whether the producer waits for the consumer to free capacity. */
     public synchronized boolean isBackpressured() {
         return waitingProducer != null;
     }
 
     /**
-     * Whether the producer has been silent for too long, or the consumer, which may take much at
-     * once and then rest.
+     * Whether the producer or the consumer has made no progress for too long. The consumer has more
+     * time, because it may take a lot at once and then pause.
      *
-     * @param nowNanos as {@link System#nanoTime}
+     * @param nowNanos the time on the clock of {@link System#nanoTime}
      */
     public synchronized boolean isStalled(long nowNanos) {
         long limitNanos = bufferedBytes > 0 ? CONSUMER_STALL_NANOS : PRODUCER_STALL_NANOS;
         return nowNanos - lastProgressNanos > limitNanos;
     }
 
-    /** The producer has appended its last byte. */
+    /** Marks the body as complete: the producer has appended its last byte. */
     public void finish() {
         synchronized (this) {
             producerFinished = true;
@@ -181,7 +185,9 @@
         wakeConsumer();
     }
 
-    /** There is no consumer any more: what is appended from now on is discarded. */
+    /**
+     * Discards the buffered bytes and all that are appended later: there is no consumer any more.
+     */
     public void discard() {
         synchronized (this) {
             discarded = true;
@@ -193,7 +199,7 @@
         try {
             grantCapacity();
         } catch (IOException e) {
-            lastProgressNanos = System.nanoTime(); // The producer has gone as well.
+            lastProgressNanos = System.nanoTime(); // The producer is disconnected too.
         }
     }
 
@@ -225,7 +231,7 @@
         synchronized (this) {
             consumer = out;
             if (writing) {
-                return false; // The other thread goes on with what has come meanwhile.
+                return false; // The writing thread also writes what was appended meanwhile.
             }
             writing = true;
         }
@@ -245,7 +251,7 @@
         return last;
     }
 
-    /** Writes until the channel takes no more, or nothing is left. */
+    /** Writes until the channel accepts no more bytes or the pipe is empty. */
     private void writeChunks(DataStreamChannel out) throws IOException {
         ByteBuffer chunk = nextChunk();
         while (chunk != null) {
@@ -255,25 +261,25 @@
         }
     }
 
-    /** Whether all has been produced, and written but for what is being written now. */
-    public synchronized boolean isLastChunkInWriting() {
-        return lastChunkInWriting;
+    /** Whether the body is complete and only the chunk that is being written now is left. */
+    public synchronized boolean isWritingLastChunk() {
+        return writingLastChunk;
     }
 
-    /** The bytes to the end of the ring, at most; null if there are none. */
+    /** The next buffered bytes, up to the end of the ring array; null if there are none. */
     private synchronized ByteBuffer nextChunk() {
-        // Guards against a next request that is rejected: a client that knows the length may send
-        // it while the producer's thread has appended the last byte but not yet said that it was
-        // the last.
+        // Guards against rejecting the client's next request: a client that knows the length may
+        // send it when the producer's thread has appended the last byte but not yet called
+        // finish().
         boolean allProduced = producerFinished || producedBytes == lengthBytes;
-        lastChunkInWriting = allProduced && readIndex + bufferedBytes <= ring.length;
+        writingLastChunk = allProduced && readIndex + bufferedBytes <= ring.length;
         if (bufferedBytes == 0) {
             return null;
         }
         return ByteBuffer.wrap(ring, readIndex, Math.min(bufferedBytes, ring.length - readIndex));
     }
 
-    /** Returns whether the channel has taken anything. */
+    /** Removes written bytes; returns whether the channel accepted any. */
     private synchronized boolean markConsumed(int count) {
         if (!discarded) {
             readIndex = (readIndex + count) % ring.length;
@@ -283,7 +289,7 @@
         return count > 0;
     }
 
-    /** True, once, if the producer has finished and all is written. */
+    /** True, once, if the producer has finished and all bytes are written. */
     private synchronized boolean closeIfDrained() {
         boolean last = producerFinished && bufferedBytes == 0 && !closed && !discarded;
         closed |= last;
--- a/src/main/java/cairnbridge/proxy/BufferedBody.java
+++ b/src/main/java/cairnbridge/proxy/BufferedBody.java
@@ -5,28 +5,30 @@
 import org.apache.hc.core5.http.EntityDetails;
 
 /**
- * The bytes received so far of a body that is short enough to be buffered whole. For one thread.
+ * A body that is short enough to be buffered as a whole, as far as it has been received. Not
+ * thread-safe.
  */
 public final class BufferedBody {
-    /** The longest body that is buffered whole. */
+    /** The length of the longest body that is buffered as a whole. */
     public static final int MAX_BYTES = 64 * 1024;
 
     private static final int INITIAL_BYTES = 2048;
     private final ByteArrayOutputStream buffer;
 
     /**
-     * A buffer without any bytes yet.
+     * Creates an empty buffer.
      *
-     * @param entity what the message's head says of its body; null if there is none
+     * @param entity the body's description in the message head; null if there is no body
      */
     public BufferedBody(EntityDetails entity) {
         long announcedBytes = entity == null ? 0 : entity.getContentLength();
-        // Guards against memory taken by hundreds who announce a body and send none.
+        // Guards against memory allocated for hundreds of clients that announce a body and send
+        // none.
         long initialBytes = Math.max(0, Math.min(INITIAL_BYTES, announcedBytes));
         buffer = new ByteArrayOutputStream((int) initialBytes);
     }
 
-    /** Takes all that is there; false, and nothing taken, if the body grows too long. */
+    /** Appends all bytes of the source; false, and nothing appended, if the body gets too long. */
     public boolean tryAppend(ByteBuffer source) {
         boolean fits = buffer.size() + source.remaining() <= MAX_BYTES;
         if (fits) {
--- a/src/main/java/cairnbridge/proxy/ByteArrayBody.java
+++ b/src/main/java/cairnbridge/proxy/ByteArrayBody.java
@@ -6,15 +6,13 @@
 import org.apache.hc.core5.http.impl.BasicEntityDetails;
 import org.apache.hc.core5.http.nio.DataStreamChannel;
 
-/**
- * A body whose bytes are all at hand; empty for a message without one. For one thread at a time.
- */
+/** A body that is completely in memory; empty for a message without a body. Not thread-safe. */
 public final class ByteArrayBody implements MessageBody {
     private final ByteBuffer remaining;
     private boolean ended;
 
     /**
-     * A body of these bytes, which are not copied.
+     * Creates a body from the given bytes, which are not copied.
      *
      * @param bytes null or empty for no body
      */
@@ -34,7 +32,7 @@
 
     @Override
     public boolean writeTo(DataStreamChannel out) throws IOException {
-        if (ended) { // The library calls again after the end.
+        if (ended) { // The library calls this again after the end of the stream.
             return false;
         }
         out.write(remaining);
--- a/src/main/java/cairnbridge/proxy/ClientConnection.java
+++ b/src/main/java/cairnbridge/proxy/ClientConnection.java
@@ -12,20 +12,23 @@
 import org.apache.hc.core5.reactor.IOSession;
 
 /**
- * A connection of a client. The library goes on after a client has closed its connection; this ends
- * the request instead.
+ * The event handler of one client connection. The library continues with a request after the client
+ * has closed its connection; this class aborts the request instead.
  *
  * <p>The library calls the event methods on the reactor's thread; any thread may call the methods
- * that ask for its state or close it.
+ * that query the state or close the connection.
  */
 final class ClientConnection extends ServerHttp1IOEventHandler {
-    /** A connection this long without a byte has no request on its way, as far as can be known. */
-    private static final long QUIET_MILLIS = 150;
+    /** A connection that is idle for this long is assumed to have no request in transit. */
+    private static final long MIN_IDLE_MILLIS = 150;
 
-    /** The same for a connection on which no request has come yet. */
-    private static final long FRESH_MILLIS = 1000;
+    /** The same for a connection on which no request has arrived yet. */
+    private static final long FIRST_REQUEST_WAIT_MILLIS = 1000;
 
-    /** What a client may send that nobody reads, until it closes or amid its answer. */
+    /**
+     * The most bytes that are discarded before the connection is closed: those that a client sends
+     * during a lingering close or while a response is pending.
+     */
     private static final long MAX_DISCARDED_BYTES = 1 << 20;
 
     private static final long NOT_READING = 0;
@@ -35,13 +38,16 @@
     private final RequestHandlers requestHandlers;
     private final ClientConnections connections;
 
-    /** When the request began that is being read. Set by the reactor and the scheduler. */
+    /**
+     * When the request that is being read began, plus the pauses in reading. Set by the reactor and
+     * the scheduler.
+     */
     private volatile long readingSinceNanos = NOT_READING;
 
-    /** How many requests had begun when the connection was found overdue. */
-    private volatile int createdCountAtCheck = NOT_OVERDUE;
+    /** The number of requests begun on the connection when it was found overdue. */
+    private volatile int requestCountAtCheck = NOT_OVERDUE;
 
-    /** Set on the reactor's thread. */
+    /** Whether the connection was closed for lack of descriptors. Set on the reactor's thread. */
     private volatile boolean rejected;
 
     ClientConnection(
@@ -60,9 +66,9 @@
         return requestHandlers.latest();
     }
 
-    /** Whether a request has ever begun on it. */
+    /** Whether a request has ever begun on this connection. */
     boolean hasSentRequest() {
-        return requestHandlers.createdCount() != 0;
+        return requestHandlers.requestCount() != 0;
     }
 
     /** Whether no request is being read or answered. */
@@ -70,27 +76,27 @@
         return requestHandlers.isIdle();
     }
 
-    /** The Unix time in milliseconds of the last event on it. */
+    /** The Unix time, in milliseconds, of the last event on this connection. */
     long idleSinceMillis() {
         return session.getLastEventTime();
     }
 
-    /** The time since the last event on it, in milliseconds. */
+    /** The time since the last event on this connection, in milliseconds. */
     long idleMillis() {
         return System.currentTimeMillis() - idleSinceMillis();
     }
 
-    /** Whether a request has begun and not come to its end. */
+    /** Whether a request has begun that has not been read completely. */
     boolean isReadingRequest() {
         return readingSinceNanos != NOT_READING;
     }
 
-    /** For how long the request has been read, in nanoseconds. */
+    /** How long the current request has been read, in nanoseconds, without pauses. */
     long readingNanos(long nowNanos) {
         return nowNanos - readingSinceNanos;
     }
 
-    /** Takes a time out of the one for which the request has been read. */
+    /** Excludes a pause from the time for which the current request has been read. */
     void pauseReading(long pausedNanos) {
         long since = readingSinceNanos;
         readingSinceNanos = since + pausedNanos;
@@ -101,53 +107,53 @@
         return session.isClosing();
     }
 
-    /** For how long the proxy has waited for the client to close, in milliseconds. */
+    /** How long the proxy has waited for the client to close, in milliseconds. */
     long lingeringMillis(long nowNanos) {
         return session.lingeringMillis(nowNanos);
     }
 
     /**
-     * Whether it may be closed as idle. Guards against closing on a request that has come and is
-     * not read, as on a fresh connection.
+     * Whether the connection may be closed as idle. Guards against closing a connection, such as a
+     * new one, on which a request has arrived that has not been read.
      */
     boolean isClosable() {
-        return isQuietFor(QUIET_MILLIS);
+        return isIdleFor(MIN_IDLE_MILLIS);
     }
 
     /**
-     * Whether it may be closed in standby. Guards against closing with its first request on the way
-     * to a connection just made.
+     * Whether the connection may be closed in standby. Guards against closing a new connection
+     * while its first request is in transit.
      */
     boolean isDueForStandbyClose() {
-        return isQuietFor(hasSentRequest() ? QUIET_MILLIS : FRESH_MILLIS);
+        return isIdleFor(hasSentRequest() ? MIN_IDLE_MILLIS : FIRST_REQUEST_WAIT_MILLIS);
     }
 
-    private boolean isQuietFor(long millis) {
+    private boolean isIdleFor(long millis) {
         return isIdle() && idleMillis() >= millis;
     }
 
-    /** Closes it after the answers that are owed. */
+    /** Closes the connection after the pending response. */
     void closeGracefully() {
         session.enqueue(ShutdownCommand.GRACEFUL, Command.Priority.NORMAL);
     }
 
-    /** Closes it at once. */
+    /** Closes the connection at once. */
     void closeNow() {
         session.close(CloseMode.IMMEDIATE);
     }
 
-    /** Closes it at once, as there is no descriptor for it. */
+    /** Closes the connection at once because no descriptor is free for it. */
     void reject() {
         rejected = true;
         closeNow();
     }
 
-    /** Whether it was closed because there was no descriptor for it. */
+    /** Whether the connection was closed because no descriptor was free for it. */
     boolean isRejected() {
         return rejected;
     }
 
-    /** Closes what only waits for its client to close. */
+    /** Closes the socket if the connection only waits for the client to close its side. */
     void releaseLingering() {
         if (session.isClosing()) {
             session.release();
@@ -155,16 +161,17 @@
     }
 
     /**
-     * Has the reactor's thread check again that it is overdue, and close it. Guards against a close
-     * that meets a request which the reactor is just reading.
+     * Makes the reactor's thread check again whether the connection is overdue, and close it if so.
+     * Guards against closing the connection while the reactor is reading a request from it.
      */
     void recheckOnReactor() {
-        createdCountAtCheck = requestHandlers.createdCount();
+        requestCountAtCheck = requestHandlers.requestCount();
         try {
             session.setEvent(SelectionKey.OP_WRITE);
         } catch (CancelledKeyException e) {
-            // Guards against the end of all checks, as one connection ends just then.
-            createdCountAtCheck = NOT_OVERDUE;
+            // Guards against an exception that ends the checks of all connections when this one is
+            // closed concurrently.
+            requestCountAtCheck = NOT_OVERDUE;
         }
     }
 
@@ -180,7 +187,7 @@
 
     @Override
     public void outputReady(IOSession ioSession) throws IOException {
-        if (closedAsOverdue()) {
+        if (closeIfStillOverdue()) {
             return;
         }
         if (session.isClosing()) {
@@ -190,16 +197,20 @@
         }
     }
 
-    /** Ends the check that {@link #recheckOnReactor} has begun; false if it is not closed now. */
-    private boolean closedAsOverdue() {
-        int createdAtCheck = createdCountAtCheck;
-        createdCountAtCheck = NOT_OVERDUE;
-        if (createdAtCheck == NOT_OVERDUE) {
+    /**
+     * Completes the check that {@link #recheckOnReactor} has begun; true if the connection was
+     * closed at once.
+     */
+    private boolean closeIfStillOverdue() {
+        int countAtCheck = requestCountAtCheck;
+        requestCountAtCheck = NOT_OVERDUE;
+        if (countAtCheck == NOT_OVERDUE) {
             return false;
         }
         if (isIdle() && !isReadingRequest() && !session.isClosing()) {
-            // The check itself is an event: only what has come since can speak against it.
-            if (createdAtCheck == requestHandlers.createdCount()) {
+            // The check itself counts as an event, so the idle time is no longer known: the
+            // connection is kept only if a request has begun since.
+            if (countAtCheck == requestHandlers.requestCount()) {
                 closeGracefully();
             }
             return false;
@@ -222,7 +233,10 @@
         }
     }
 
-    /** Whether the last request has been read; the library stops reading while answers are owed. */
+    /**
+     * Whether the last request of the connection has been read: the library does not read while the
+     * response to it is pending.
+     */
     private boolean hasStoppedReading() {
         if (requestHandlers.wasPipelined()) {
             return true;
@@ -231,7 +245,7 @@
         return latest != null && latest.isRequestComplete() && !latest.isFinished() && !isOpen();
     }
 
-    /** Guards against a client's close that is not seen because bytes lie before it. */
+    /** Guards against missing the client's close because unread bytes precede it. */
     private void discardInput(IOSession ioSession) throws IOException {
         if (session.discardInput() > MAX_DISCARDED_BYTES || session.hasPeerClosed()) {
             ioSession.close(CloseMode.IMMEDIATE);
@@ -239,15 +253,15 @@
     }
 
     private void readInput(IOSession ioSession, ByteBuffer source) throws IOException {
-        int createdBefore = requestHandlers.createdCount();
+        int countBefore = requestHandlers.requestCount();
         super.inputReady(ioSession, source);
         ClientExchange reading = requestHandlers.latest();
         if (reading != null) {
             ReadLoop.readWhileProgressing(
                     () -> super.inputReady(ioSession, null), reading::streamedBytesIfReadable);
         }
-        updateReadingSince(createdBefore);
-        // Guards against requests worked on for a client that has closed its connection.
+        updateReadingSince(countBefore);
+        // Guards against processing a request whose client has closed its connection.
         if (session.hasPeerClosed() && !isIdle()) {
             ioSession.close(CloseMode.IMMEDIATE);
         } else if (hasStoppedReading()) {
@@ -255,8 +269,8 @@
         }
     }
 
-    private void updateReadingSince(int createdBefore) {
-        if (!requestHandlers.isReading(createdBefore)) {
+    private void updateReadingSince(int countBefore) {
+        if (!requestHandlers.isReading(countBefore)) {
             readingSinceNanos = NOT_READING;
         } else if (!isReadingRequest()) {
             readingSinceNanos = System.nanoTime();
--- a/src/main/java/cairnbridge/proxy/ClientConnections.java
+++ b/src/main/java/cairnbridge/proxy/ClientConnections.java
@@ -10,9 +10,9 @@
 import org.apache.hc.core5.reactor.ProtocolIOSession;
 
 /**
- * The open connections of clients: closes those that are overdue, and idle ones if descriptors run
- * short. Any thread may call the methods that close connections or count them; the others are
- * called on the reactor's thread.
+ * The open client connections. Closes overdue connections, and idle ones when few descriptors are
+ * free. Any thread may call the methods that close connections or count them; the others are called
+ * on the reactor's thread.
  */
 public final class ClientConnections {
     private static final String SCHEME = "http";
@@ -23,16 +23,16 @@
     private final ListenerState listenerState;
     private final Set<ClientConnection> connections = ConcurrentHashMap.newKeySet();
 
-    /** Sessions that wait for their client to close, the longest first. Reactor's thread only. */
+    /** Sessions that wait for their client to close, oldest first. Reactor's thread only. */
     private final Deque<LingeringSession> lingeringSessions = new ArrayDeque<>();
 
     private volatile long lastCheckNanos = System.nanoTime();
 
     /**
-     * No connections yet.
+     * Creates an empty set of connections.
      *
      * @param handlerFactory creates the handler of each request
-     * @param budgetListener told if an idle connection to a server is to make way
+     * @param budgetListener notified when an idle connection to a server should be closed
      */
     ClientConnections(
             DescriptorBudget budget,
@@ -45,7 +45,7 @@
         this.listenerState = listenerState;
     }
 
-    /** Creates the handler of an accepted connection's events. */
+    /** Creates the event handler of an accepted connection. */
     IOEventHandler createHandler(ProtocolIOSession session) {
         RequestHandlers requestHandlers = new RequestHandlers(session, handlerFactory);
         ServerHttp1StreamDuplexerFactory factory =
@@ -66,23 +66,23 @@
         return new ClientConnection(client, duplexer, requestHandlers, this);
     }
 
-    /** The connections that are open, or accepted and not yet admitted. */
+    /** The number of connections that are open, or accepted and not yet admitted. */
     public int count() {
         return connections.size() + budget.pendingAccepted();
     }
 
-    /** Counts a connection that the reactor has just seen; {@link #enforceBudget} follows. */
+    /** Adds a connection that the reactor has registered; {@link #enforceBudget} is called next. */
     void add(ClientConnection client) {
         budget.opened();
         connections.add(client);
     }
 
-    /** Forgets a connection that is closed. */
+    /** Removes a connection that is closed. */
     void remove(ClientConnection client, LingeringSession session) {
         lingeringSessions.remove(session);
         if (connections.remove(client)) {
             int openDescriptors = budget.closed();
-            listenerState.crowded = openDescriptors >= budget.crowdedLimit();
+            listenerState.keepAliveSuspended = openDescriptors >= budget.keepAliveLimit();
             if (client.isRejected()) {
                 budget.removePendingAccepted();
             }
@@ -90,35 +90,37 @@
     }
 
     /**
-     * Admits a connection that has just been counted, or rejects it. Guards against running out of
-     * descriptors; the dearest step comes last.
+     * Admits or rejects a connection that has just been added. Guards against running out of
+     * descriptors: first closes lingering or idle connections, and rejects the new one only if that
+     * is not enough.
      */
     void enforceBudget(ClientConnection latest) {
         int openDescriptors = budget.openDescriptors();
-        listenerState.crowded = openDescriptors >= budget.crowdedLimit();
+        listenerState.keepAliveSuspended = openDescriptors >= budget.keepAliveLimit();
         if (openDescriptors >= budget.fullLimit()) {
-            makeRoom();
+            freeDescriptors();
         }
         if (budget.isExhausted() || connections.size() > budget.maxClients()) {
-            // Its descriptor is in use until the reactor's turn ends: it stays counted as pending.
+            // The descriptor stays in use until the end of the select cycle, so the connection
+            // stays counted as pending.
             latest.reject();
         } else {
-            // Last: guards against a shutdown that sees no client in between.
+            // Comes last: guards against a shutdown that sees no client between the two counts.
             budget.removePendingAccepted();
         }
     }
 
-    private void makeRoom() {
+    private void freeDescriptors() {
         if (lingeringSessions.isEmpty()) {
             closeIdleClient();
             budgetListener.descriptorBudgetExceeded();
         } else {
-            // Each leaves this queue as it is disconnected.
+            // Each session is removed from the queue when it is disconnected.
             lingeringSessions.forEach(LingeringSession::release);
         }
     }
 
-    /** Closes the connection that has been idle longest, if there is one. */
+    /** Closes the connection that has been idle longest, if any is idle. */
     private void closeIdleClient() {
         ClientConnection oldest = null;
         for (ClientConnection client : connections) {
@@ -132,7 +134,7 @@
         }
     }
 
-    /** Guards against descriptors spent on clients that have their answer and do not close. */
+    /** Guards against descriptors held by clients that have their response and do not close. */
     private void trackLingering(LingeringSession session) {
         lingeringSessions.add(session);
         if (lingeringSessions.size() > budget.maxLingering()) {
@@ -140,7 +142,7 @@
         }
     }
 
-    /** Closes what is overdue, and idle connections in standby; to be called often. */
+    /** Closes overdue connections and, in standby, idle ones; called periodically. */
     public void closeOverdue() {
         long nowNanos = System.nanoTime();
         connections.forEach(client -> closeIfOverdue(client, nowNanos));
@@ -156,12 +158,12 @@
         }
     }
 
-    /** Whether a connection is to be closed, as {@link ClientTimeouts} has it. */
+    /** Whether a connection has exceeded a limit of {@link ClientTimeouts}. */
     boolean isOverdue(ClientConnection client, long nowNanos) {
         return ClientTimeouts.isOverdue(client, nowNanos, lastCheckNanos);
     }
 
-    /** Closes idle connections for a planned shutdown; the others close after their answer. */
+    /** Closes idle connections for a graceful shutdown; the others close after their response. */
     public void closeIdleClients() {
         connections.forEach(ClientConnections::closeIfIdle);
     }
@@ -173,8 +175,8 @@
     }
 
     /**
-     * Closes all connections after their answers, however short a while they have been idle: what
-     * crosses the close is not read as a request.
+     * Closes all connections after their pending responses, even if they became idle only just now:
+     * a request that arrives during the close is not processed.
      */
     public void closeAllGracefully() {
         connections.forEach(ClientConnection::closeGracefully);
--- a/src/main/java/cairnbridge/proxy/ClientEvents.java
+++ b/src/main/java/cairnbridge/proxy/ClientEvents.java
@@ -1,13 +1,13 @@
 package cairnbridge.proxy;
 
-/** What happens to clients and their requests; called on the reactor's thread. */
+/** Receives the events of client requests; called on the reactor's thread. */
 interface ClientEvents {
-    /** A request has been read, or its body has begun to pass through. */
+    /** A request has been read completely, or its body has begun to be streamed. */
     void requestArrived(ClientExchange exchange, long deadlineTicks);
 
-    /** A client has closed its connection before its answer. */
+    /** A client has closed its connection before it had its whole response. */
     void clientDisconnected(ClientExchange exchange);
 
-    /** A body that passes through has come to its last byte, from which its TTL runs. */
+    /** The last byte of a streamed body has been read; the TTL of the request runs from now. */
     void requestBodyCompleted(ClientExchange exchange, long deadlineTicks);
 }
--- a/src/main/java/cairnbridge/proxy/ClientExchange.java
+++ b/src/main/java/cairnbridge/proxy/ClientExchange.java
@@ -22,25 +22,26 @@
 import org.apache.hc.core5.http.protocol.HttpContext;
 
 /**
- * One request of a client and its one answer. The reactor thread calls what {@link RequestHandler}
- * inherits from the HTTP library. The coordinator thread answers, by {@link #answerSuccess} and the
- * methods after it, and alone uses the request id. The states may be read by any thread.
+ * One request of a client and its response. The reactor's thread calls the methods that {@link
+ * RequestHandler} inherits from the HTTP library. The coordinator's thread answers the request,
+ * with {@link #answerSuccess} and the methods after it, and is the only thread that uses the
+ * request id. Any thread may query the state.
  */
 public final class ClientExchange implements RequestHandler {
-    // Copies of the constants of RequestParser for the classes that read them here.
+    // Aliases of the constants of RequestParser, for classes that refer to them by this class.
     static final String TRACE_ID_HEADER = RequestParser.TRACE_ID_HEADER;
     static final String TTL_HEADER = RequestParser.TTL_HEADER;
     static final String IDEMPOTENCY_KEY_HEADER = RequestParser.IDEMPOTENCY_KEY_HEADER;
 
     private static final Logger LOG = Logger.getLogger(ClientExchange.class.getName());
 
-    /** Paths that begin so are answered by the proxy itself. */
+    /** The prefix of the paths that the proxy answers itself. */
     private static final String PROXY_PATH_PREFIX = "/-/";
 
     private static final String READINESS_PATH = "/-/ready";
     private static final String EXPECT_HEADER = "Expect";
     private static final byte[] NO_BYTES = {};
-    private static final long NO_RETRY_ADVICE = 0;
+    private static final long NO_RETRY_AFTER = 0;
 
     private final RequestContext context;
     private final ListenerState listenerState;
@@ -51,13 +52,16 @@
     private final RequestBody body = new RequestBody();
     private final ResponseSender response = new ResponseSender();
 
-    /** Null until the head has been parsed; set by the reactor before the request is announced. */
+    /**
+     * Null until the head has been parsed; set by the reactor's thread before the coordinator is
+     * notified of the request.
+     */
     private ParsedRequest request;
 
-    /** Null until the coordinator thread, which alone uses it, has assigned it. */
+    /** Null until the coordinator's thread assigns it; used on that thread only. */
     RequestId requestId;
 
-    // Copies of request(), requestBody() and requestPipe() for the classes that read fields.
+    // Copies of request(), requestBody() and requestPipe(), for classes that read the fields.
     String method;
     String target;
     String traceId;
@@ -74,14 +78,14 @@
     private volatile boolean countedAsAccepted;
     private volatile boolean clientDisconnected;
 
-    /** The last byte of the answer has been written, or the client has disconnected. */
+    /** Whether the last byte of the response is written, or the client has disconnected. */
     private volatile boolean finished;
 
     /**
-     * An exchange whose request is yet to be received.
+     * Creates an exchange whose request has not been received yet.
      *
-     * @param events hears of the request once it is complete, or long enough to be streamed
-     * @param onReleased is called once the HTTP library is done with this exchange
+     * @param events notified of the request once it is complete, or too long to be buffered
+     * @param onReleased called once the HTTP library no longer uses this exchange
      * @param abortConnection closes the connection at once
      */
     public ClientExchange(
@@ -97,7 +101,7 @@
         this.abortConnection = abortConnection;
     }
 
-    /** As above with the listener's own context, for ConnectionReactor and tests. */
+    /** Creates an exchange with the request context of its listener. */
     ClientExchange(
             ListenerState listenerState,
             ClientEvents events,
@@ -106,27 +110,27 @@
         this(listenerState.requestContext(), listenerState, events, onReleased, abortConnection);
     }
 
-    /** The request's head; null until it has been parsed. */
+    /** The parsed head of the request; null until it has been parsed. */
     public ParsedRequest request() {
         return request;
     }
 
-    /** The whole body if it was buffered; empty if there is none, or if it is streamed. */
+    /** The body if it is buffered; empty if there is no body, or if it is streamed. */
     public byte[] requestBody() {
         return body.bytes();
     }
 
-    /** The body if it is streamed; null if it was buffered. */
+    /** The body if it is streamed; null if it is buffered. */
     public BodyPipe requestPipe() {
         return body.pipe();
     }
 
-    /** The permit that those of all attempts for this request derive from. */
+    /** The permit of this request, from which the permits of its attempts are derived. */
     public SendPermit sendPermit() {
         return sendPermit;
     }
 
-    /** A pipe for an answer; its length is negative if it is unknown. */
+    /** Creates a pipe for a response; a negative length means that it is unknown. */
     public BodyPipe createPipe(long lengthBytes) {
         return new BodyPipe(context.pipedBytes(), lengthBytes);
     }
@@ -141,7 +145,7 @@
         requestId = id;
     }
 
-    /** Whether the client has disconnected before it had its answer. */
+    /** Whether the client has disconnected before it had its whole response. */
     public boolean hasClientDisconnected() {
         return clientDisconnected;
     }
@@ -162,13 +166,14 @@
     }
 
     /**
-     * Whether the client may have its answer. Guards against a next request that is rejected
-     * because it came before this thread knew that it may.
+     * Whether the client may have received its whole response. Guards against rejecting the
+     * client's next request as pipelined if it arrives before this thread has recorded that the
+     * response is written.
      */
     public boolean isAnswered() {
         return finished
                 || (response.isStarted()
-                        && (!response.isStreaming() || response.isLastChunkInWriting()));
+                        && (!response.isStreaming() || response.isWritingLastChunk()));
     }
 
     @Override
@@ -186,7 +191,7 @@
         return body.receivedBytes();
     }
 
-    /** How much of a streamed body has been received if more may come at once; else under 0. */
+    /** The received bytes of a streamed body that can be read further; otherwise less than 0. */
     public long streamedBytesIfReadable() {
         boolean readable = body.isStreamed() && !requestComplete && !body.isBackpressured();
         return readable ? body.receivedBytes() : -1;
@@ -210,14 +215,14 @@
         response.open(responseChannel, httpContext);
         String target = RequestParser.pathOf(head.getRequestUri());
         if (target.startsWith(PROXY_PATH_PREFIX)) {
-            sendAnswer(proxyPathStatus(target), NO_BYTES, NO_RETRY_ADVICE, entity != null);
+            sendResponse(proxyPathStatus(target), NO_BYTES, NO_RETRY_AFTER, entity != null);
             return;
         }
         try {
             request = RequestParser.parse(head, target, context);
         } catch (MalformedRequestException e) {
-            byte[] fault = e.getMessage().getBytes(StandardCharsets.US_ASCII);
-            sendAnswer(HttpStatus.SC_BAD_REQUEST, fault, NO_RETRY_ADVICE, true);
+            byte[] errorBody = e.getMessage().getBytes(StandardCharsets.US_ASCII);
+            sendResponse(HttpStatus.SC_BAD_REQUEST, errorBody, NO_RETRY_AFTER, true);
             return;
         }
         copyRequest();
@@ -284,8 +289,8 @@
         body.completeBuffered();
         requestBody = body.bytes();
         requestComplete = true;
-        // Guards against a request that is expired on arrival: a client may take a second for its
-        // body; its TTL runs from then.
+        // Guards against a request whose TTL has expired on arrival: a client may take a second to
+        // send its body, so the TTL runs from the last byte.
         long deadlineTicks = deadline();
         if (!context.filter().intercept(this, deadlineTicks)) {
             announce(deadlineTicks);
@@ -294,8 +299,8 @@
     }
 
     /**
-     * The body is too long to be buffered: the request is announced now, and its TTL runs from the
-     * last byte.
+     * Announces a request whose body is too long to be buffered. Its TTL runs from the last byte of
+     * the body; until then the deadline includes the time to receive the rest.
      */
     private void startStreaming(ByteBuffer source) {
         body.startStreaming(context.pipedBytes(), source);
@@ -321,59 +326,63 @@
         }
     }
 
-    /** Sends a cache's answer, byte for byte. */
+    /** Sends the response of a cache, byte for byte. */
     public void answerSuccess(byte[] answer) {
-        sendAnswer(HttpStatus.SC_OK, answer, NO_RETRY_ADVICE, false);
+        sendResponse(HttpStatus.SC_OK, answer, NO_RETRY_AFTER, false);
     }
 
-    /** Streams a cache's answer from now on, byte for byte. */
+    /** Streams the response of a cache, byte for byte, as the pipe receives it. */
     public void streamAnswer(BodyPipe answer) {
         response.markStreaming();
-        if (!startAnswer(HttpStatus.SC_OK, answer, NO_RETRY_ADVICE, false)) {
+        if (!startResponse(HttpStatus.SC_OK, answer, NO_RETRY_AFTER, false)) {
             answer.discard();
         }
     }
 
-    /** Answers as a cache without the value; only during warm-up is this proxy in its place. */
+    /**
+     * Answers like a cache that does not have the value. Used only during warm-up, in which this
+     * proxy is its own cache.
+     */
     public void answerNotFound() {
-        sendAnswer(HttpStatus.SC_NOT_FOUND, NO_BYTES, NO_RETRY_ADVICE, false);
+        sendResponse(HttpStatus.SC_NOT_FOUND, NO_BYTES, NO_RETRY_AFTER, false);
     }
 
-    /** Rejects the request because its trace id is that of an open one. */
+    /** Rejects the request because another unanswered request has the same trace id. */
     public void rejectConflict() {
-        sendAnswer(HttpStatus.SC_CONFLICT, NO_BYTES, NO_RETRY_ADVICE, true);
+        sendResponse(HttpStatus.SC_CONFLICT, NO_BYTES, NO_RETRY_AFTER, true);
     }
 
     /**
-     * Rejects the request, which the client may try again.
+     * Rejects the request with a status that allows the client to retry it.
      *
-     * @param retryAfterTicks what it is advised to wait before that; 0 for no advice
+     * @param retryAfterTicks the delay that the client is advised to wait before a retry, in ticks;
+     *     0 for no advice
      */
     public void rejectRetryable(long retryAfterTicks) {
-        sendAnswer(HttpStatus.SC_SERVICE_UNAVAILABLE, NO_BYTES, retryAfterTicks, false);
+        sendResponse(HttpStatus.SC_SERVICE_UNAVAILABLE, NO_BYTES, retryAfterTicks, false);
     }
 
-    /** The request has failed for good. */
+    /** Fails the request with a status that does not invite the client to retry it. */
     public void failPermanently() {
-        sendAnswer(HttpStatus.SC_BAD_GATEWAY, NO_BYTES, NO_RETRY_ADVICE, false);
+        sendResponse(HttpStatus.SC_BAD_GATEWAY, NO_BYTES, NO_RETRY_AFTER, false);
     }
 
-    private void sendAnswer(int status, byte[] answer, long retryAfterTicks, boolean close) {
+    private void sendResponse(int status, byte[] content, long retryAfterTicks, boolean close) {
         if (response.isStreaming()) {
-            // Guards against an answer that broke off and seems whole: its connection ends before
-            // it does.
+            // Guards against a truncated response that looks complete: the connection is closed
+            // before the end of the body is sent.
             response.markFailed();
             finish();
             abortConnection.run();
             return;
         }
-        startAnswer(status, new ByteArrayBody(answer), retryAfterTicks, close);
+        startResponse(status, new ByteArrayBody(content), retryAfterTicks, close);
         body.discardStream();
     }
 
-    /** Returns false if the client has been answered, or has disconnected. */
-    private boolean startAnswer(
-            int status, MessageBody answer, long retryAfterTicks, boolean close) {
+    /** Returns false if the request has been answered already, or the client has disconnected. */
+    private boolean startResponse(
+            int status, MessageBody content, long retryAfterTicks, boolean close) {
         if (!response.tryStart()) {
             return false;
         }
@@ -381,11 +390,11 @@
         boolean bodyIncomplete = body.isStreamed() && !requestComplete;
         boolean last = close || listenerState.isClosingConnections() || bodyIncomplete;
         try {
-            if (response.send(status, answer, retryAfterTicks, last)) {
+            if (response.send(status, content, retryAfterTicks, last)) {
                 finish();
             }
         } catch (HttpException | IOException e) {
-            // The client's connection broke under the answer: nothing is owed to it any more.
+            // The client's connection failed during the response: nothing more can be sent.
             clientDisconnected = true;
             response.terminate();
             finish();
@@ -407,18 +416,18 @@
 
     @Override
     public void failed(Exception cause) {
-        // Guards against an attempt that begins while the coordinator has not yet heard that its
-        // client has disconnected.
+        // Guards against an attempt that begins before the coordinator has processed the event that
+        // its client has disconnected.
         sendPermit.revoke(AttemptRejection.CLIENT_GONE);
         clientDisconnected = true;
         boolean unanswered = response.tryStart();
-        if (isStreamingAnswer()) {
+        if (isStreamingResponse()) {
             LOG.log(
                     Level.INFO,
                     "client: streamed response aborted by the client: {0}",
                     String.valueOf(cause));
         }
-        if (announced && (unanswered || isStreamingAnswer())) {
+        if (announced && (unanswered || isStreamingResponse())) {
             response.clearOutcome();
             events.clientDisconnected(this);
         }
@@ -427,11 +436,11 @@
         finish();
     }
 
-    private boolean isStreamingAnswer() {
+    private boolean isStreamingResponse() {
         return response.isStreaming() && !finished;
     }
 
-    /** Counts the outcome of a request that was announced, once. */
+    /** Marks the exchange as finished; counts the outcome, once, if the request was announced. */
     private void finish() {
         if (finished) {
             return;
--- a/src/main/java/cairnbridge/proxy/ClientExchangeFactory.java
+++ b/src/main/java/cairnbridge/proxy/ClientExchangeFactory.java
@@ -2,12 +2,12 @@
 
 import java.util.function.Consumer;
 
-/** Creates the exchanges of the requests that clients send; called on the reactor's thread. */
+/** Creates an exchange for each request of a client; called on the reactor's thread. */
 final class ClientExchangeFactory implements RequestHandlerFactory {
     private final ListenerState listenerState;
     private final EventQueue eventQueue;
 
-    /** All exchanges report to the same queue. */
+    /** Creates a factory whose exchanges all post their events to the given queue. */
     ClientExchangeFactory(ListenerState listenerState, EventQueue eventQueue) {
         this.listenerState = listenerState;
         this.eventQueue = eventQueue;
--- a/src/main/java/cairnbridge/proxy/ClientTimeouts.java
+++ b/src/main/java/cairnbridge/proxy/ClientTimeouts.java
@@ -4,13 +4,15 @@
 import java.util.logging.Logger;
 
 /**
- * For how long the proxy waits for a client: to send a request, to take up its answer, to send the
- * next request and to close its connection. Called on the scheduler's thread and on the reactor's.
+ * The time limits of client connections: to send a request, to read the response, to send the next
+ * request and to close the connection. Called on the scheduler's thread and on the reactor's.
  */
 final class ClientTimeouts {
     private static final Logger LOG = Logger.getLogger(ClientTimeouts.class.getName());
 
-    /** To send one request, but for a long body, or for the first one to begin. */
+    /**
+     * For one request to be sent, without the allowance for its body, and for the first to begin.
+     */
     private static final long REQUEST_READ_MILLIS = 2200;
 
     /** For the next request to begin. */
@@ -22,9 +24,9 @@
     private ClientTimeouts() {}
 
     /**
-     * Whether a connection is to be closed. Guards against clients that connect and send nothing,
-     * or never come to the end of what they send. While the proxy takes nothing of a body the
-     * client's time does not run.
+     * Whether a connection has exceeded a time limit and is to be closed. Guards against clients
+     * that connect and send nothing, or never complete a request. The time in which the proxy does
+     * not read a body, because of backpressure, does not count.
      *
      * @param nowNanos the time on the clock of {@link System#nanoTime}
      * @param lastCheckNanos the time of the last check of all connections on the same clock
@@ -35,7 +37,7 @@
         }
         ClientExchange latest = client.latestRequest();
         if (latest != null && latest.isStalled(nowNanos)) {
-            LOG.info("what passes through stands still: " + latest.traceId + " is cut");
+            LOG.info("streamed body stalled, closing the connection of request " + latest.traceId);
             return true;
         }
         if (client.isReadingRequest()) {
--- a/src/main/java/cairnbridge/proxy/ConnectionAttachment.java
+++ b/src/main/java/cairnbridge/proxy/ConnectionAttachment.java
@@ -6,11 +6,11 @@
 import org.apache.hc.core5.reactor.ProtocolIOSession;
 
 /**
- * What belongs to a connection that the proxy opens: it is told whether the connection came up, and
- * handles its events. Called on the reactor's thread, but for a failure or a cancellation, which
- * come on the thread that caused them.
+ * The attachment of a connection that the proxy opens. It is notified whether the connection is
+ * established, and creates the handler of its events. Called on the reactor's thread, except that a
+ * failure or a cancellation is reported on the thread that caused it.
  */
 public interface ConnectionAttachment extends FutureCallback<IOSession> {
-    /** Creates the handler of the connection's events, once its socket is open. */
+    /** Creates the handler of the connection's events; called once its socket is open. */
     IOEventHandler createHandler(ProtocolIOSession session);
 }
--- a/src/main/java/cairnbridge/proxy/ConnectionDiverter.java
+++ b/src/main/java/cairnbridge/proxy/ConnectionDiverter.java
@@ -6,35 +6,36 @@
 import java.util.logging.Logger;
 
 /**
- * Has the system give new connections to another process that listens on the same address, before
- * this process closes its own listener. Guards against resets: what is in the queue of a listener
- * as that closes is reset, and a connection may come between the last accept and the close.
+ * Directs new connections to another process that listens on the same address, before this process
+ * closes its listener. Guards against resets: the system resets the connections that are in the
+ * queue of a listener when it closes, and one may arrive between the last accept and the close.
  */
 final class ConnectionDiverter {
     private static final Logger LOG = Logger.getLogger(ConnectionDiverter.class.getName());
 
-    /** For connections that were being established at this process's listener. */
+    /** The wait for connections whose handshake with this process's listener has begun. */
     private static final long SETTLE_MILLIS = 50;
 
     private ConnectionDiverter() {}
 
     /**
-     * Loads all that {@link #divert} needs. Guards against a handover that begins late, as the
-     * first call of a library takes its time.
+     * Loads the classes and libraries that {@link #divert} needs. Guards against a handover that
+     * begins late because the first call of a native library is slow.
      */
     static void prepare(Acceptor acceptor) {
         ListenerFilter.prepare();
         try {
             Optional<ListenerGroup> group = ListenerGroup.find(acceptor.address());
-            LOG.log(Level.FINE, "the listeners of the address: {0}", group);
+            LOG.log(Level.FINE, "listeners on the address: {0}", group);
         } catch (IOException e) {
-            LOG.log(Level.FINE, "the listeners are not known: {0}", e.toString());
+            LOG.log(Level.FINE, "cannot list the listeners: {0}", e.toString());
         }
     }
 
     /**
-     * Diverts new connections from an acceptor that goes on accepting meanwhile; returns once none
-     * comes any more. Where no other process listens, or the system cannot do it, nothing changes.
+     * Diverts new connections from an acceptor, which continues to accept meanwhile; returns once
+     * it receives no new connections. Changes nothing if no other process listens on the address,
+     * or if the system does not support it.
      */
     static void divert(Acceptor acceptor) throws InterruptedException {
         try {
@@ -47,7 +48,10 @@
         }
     }
 
-    /** Tries the latest listener first; which one is this process's own the system does not say. */
+    /**
+     * Selects one listener after the other, from the latest, until this process receives no new
+     * connections: the system does not show which listener belongs to which process.
+     */
     private static void divertWithin(ListenerGroup group, Acceptor acceptor)
             throws IOException, InterruptedException {
         for (int index = group.size() - 1; index >= 0; index--) {
@@ -58,6 +62,6 @@
                 return;
             }
         }
-        throw new IOException("the system gives them to no other listener");
+        throw new IOException("the system selects no other listener");
     }
 }
--- a/src/main/java/cairnbridge/proxy/ConnectionListener.java
+++ b/src/main/java/cairnbridge/proxy/ConnectionListener.java
@@ -1,7 +1,7 @@
 package cairnbridge.proxy;
 
-/** Hears of the ends of connections to servers; called on the reactor's thread. */
+/** Notified when connections to servers are closed; called on the reactor's thread. */
 interface ConnectionListener {
-    /** A connection to a server is closed. */
+    /** Called once per established connection, after it was closed by either side. */
     void connectionClosed(UpstreamConnection connection);
 }
--- a/src/main/java/cairnbridge/proxy/ConnectionReactor.java
+++ b/src/main/java/cairnbridge/proxy/ConnectionReactor.java
@@ -12,8 +12,8 @@
 import java.util.logging.Logger;
 import org.apache.hc.core5.http.HttpHost;
 import org.apache.hc.core5.io.CloseMode;
+import org.apache.hc.core5.reactor.AcceptedChannelRegistrar;
 import org.apache.hc.core5.reactor.DefaultConnectingIOReactor;
-import org.apache.hc.core5.reactor.Handover;
 import org.apache.hc.core5.reactor.IOEventHandler;
 import org.apache.hc.core5.reactor.IOReactorConfig;
 import org.apache.hc.core5.reactor.IOReactorShutdownException;
@@ -23,12 +23,12 @@
 import org.apache.hc.core5.util.Timeout;
 
 /**
- * The one I/O reactor of the process: serves the connections that clients open, and opens those to
- * servers. All events of connections are handled on its single thread; clients are accepted on a
- * thread for each listening address.
+ * The only I/O reactor of the process: serves client connections and opens connections to servers.
+ * All connection events are handled on its single thread; each listening address has its own thread
+ * that accepts clients.
  *
- * <p>Any thread may call its methods, but that {@link #start}, {@link #listen} and the methods that
- * stop it are called one after another.
+ * <p>Any thread may call its methods, except that {@link #start}, {@link #listen} and the methods
+ * that stop it must not be called concurrently.
  */
 public final class ConnectionReactor {
     private static final Logger LOG = Logger.getLogger(ConnectionReactor.class.getName());
@@ -41,12 +41,12 @@
     private final int backlog;
     private final DefaultConnectingIOReactor reactor;
 
-    /** Present once it listens. */
+    /** Present once {@link #listen} has opened the listener. */
     private Optional<Acceptor> acceptor = Optional.empty();
 
     private volatile boolean stopping;
 
-    /** A reactor whose clients send requests to the coordinator behind a queue. */
+    /** Creates a reactor that passes client requests to the coordinator through its event queue. */
     ConnectionReactor(
             ProxyConfig config,
             EventQueue eventQueue,
@@ -62,12 +62,12 @@
     }
 
     /**
-     * A reactor that has not been started.
+     * Creates a reactor without starting it.
      *
      * @param handlerFactory creates the handler of each request of a client
-     * @param budgetListener told if an idle connection to a server is to make way
-     * @param connectionListener told of the ends of connections to servers
-     * @param threadFactory creates the reactor's thread and the listener's
+     * @param budgetListener notified when an idle connection to a server should be closed
+     * @param connectionListener notified when connections to servers are closed
+     * @param threadFactory creates the thread of the reactor and that of the listener
      */
     ConnectionReactor(
             ProxyConfig config,
@@ -105,7 +105,7 @@
     }
 
     /**
-     * Accepts clients from now on, on a thread of its own.
+     * Opens a listener and starts a thread that accepts clients.
      *
      * @throws IOException if the address cannot be listened on
      */
@@ -116,8 +116,8 @@
     }
 
     /**
-     * Opens a listener whose clients are served like any others; the caller runs it on a thread of
-     * its own.
+     * Opens another listener, whose clients are served in the same way; the caller runs it on a
+     * separate thread.
      *
      * @throws IOException if the address cannot be listened on
      */
@@ -137,15 +137,15 @@
     private void handleAccepted(SocketChannel channel) {
         budget.addPendingAccepted();
         try {
-            Handover.give(reactor, channel);
+            AcceptedChannelRegistrar.register(reactor, channel);
         } catch (IOReactorShutdownException e) {
-            // The reactor closes what it was given itself.
+            // The reactor has closed the channel.
             LOG.log(Level.FINE, "reactor: {0}", e.toString());
         }
     }
 
     private void handleReactorError(Exception cause) {
-        // A stop interrupts the reactor's loop, which then reports what it was asked for.
+        // Stopping interrupts the reactor's loop, which reports the interrupt as an error.
         if (!stopping) {
             LOG.log(Level.WARNING, "reactor: {0}", cause.toString());
         }
@@ -161,21 +161,22 @@
     /**
      * Opens a connection to a server; the caller has counted it in the budget.
      *
-     * @param attachment told once the connection is up or has failed, and handles its events
+     * @param attachment notified once the connection is established or has failed; creates the
+     *     handler of its events
      */
     public Future<IOSession> connect(
             InetSocketAddress address, Timeout connectTimeout, ConnectionAttachment attachment) {
-        // With the digits of the address: the library would otherwise look up its name, and there
-        // is no DNS to ask.
+        // Uses the numeric address: the library would otherwise look up the host name, and no DNS
+        // server is available.
         HttpHost host = new HttpHost(address.getHostString(), address.getPort());
         return reactor.connect(host, address, null, connectTimeout, attachment, attachment);
     }
 
     /**
-     * Opens a connection to a server that may be silent for any time; the budget is counted, not
-     * checked.
+     * Opens a connection to a server, without a limit on the time of silence. Counts the connection
+     * in the descriptor budget without checking the limit.
      *
-     * @param first the request that is sent as soon as the connection is up
+     * @param first the exchange that is started once the connection is established
      */
     UpstreamConnection connect(
             InetSocketAddress address, long connectTimeoutTicks, UpstreamExchange first) {
@@ -183,10 +184,11 @@
     }
 
     /**
-     * Opens a connection to a server; the budget is counted, not checked.
+     * Opens a connection to a server. Counts the connection in the descriptor budget without
+     * checking the limit.
      *
-     * @param socketTimeoutTicks the time of silence after which it fails; 0 for none
-     * @param first the request that is sent as soon as the connection is up
+     * @param socketTimeoutTicks the time without data after which the connection fails; 0 for none
+     * @param first the exchange that is started once the connection is established
      */
     UpstreamConnection connect(
             InetSocketAddress address,
@@ -213,7 +215,8 @@
     /**
      * Counts a connection to a server as closed.
      *
-     * @param wasUp false for one that never came up: no pool has it, so that nobody is told
+     * @param wasUp false if the connection was never established: it is in no pool then, and the
+     *     listener is not notified
      */
     void connectionClosed(UpstreamConnection connection, boolean wasUp) {
         budget.closed();
@@ -222,12 +225,12 @@
         }
     }
 
-    /** The file descriptors of all connections. */
+    /** The budget of file descriptors for all connections. */
     public DescriptorBudget budget() {
         return budget;
     }
 
-    /** The connections of clients. */
+    /** The open client connections. */
     public ClientConnections clients() {
         return clients;
     }
@@ -277,17 +280,17 @@
         acceptor.ifPresent(ConnectionDiverter::prepare);
     }
 
-    /** See {@link ConnectionDiverter#divert}; connections that come meanwhile are accepted. */
+    /** See {@link ConnectionDiverter#divert}; connections that arrive meanwhile are accepted. */
     void divertNewConnections() throws InterruptedException {
         if (acceptor.isPresent()) {
             ConnectionDiverter.divert(acceptor.get());
         }
     }
 
-    /** Accepts no more connections; returns once those that wait in the system are accepted. */
+    /** Closes the listener; returns once all connections in its accept queue are accepted. */
     public void stopListening() throws InterruptedException {
         stopping = true;
-        // Empty for a stop that comes before the start is over.
+        // Empty if the proxy is stopped before its start has completed.
         if (acceptor.isPresent()) {
             acceptor.get().stop();
         }
@@ -296,8 +299,8 @@
     /** Closes the listener and all connections at once. */
     public void stop() throws InterruptedException {
         stopListening();
-        // Guards against a reset that takes along what a client has not yet read, where nothing is
-        // owed.
+        // Guards against a reset that discards the end of a complete response which the client has
+        // not read yet.
         clients.releaseLingering();
         reactor.close(CloseMode.IMMEDIATE);
     }
--- a/src/main/java/cairnbridge/proxy/DescriptorBudget.java
+++ b/src/main/java/cairnbridge/proxy/DescriptorBudget.java
@@ -5,37 +5,42 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Counts the file descriptors of the process's connections against the configured limit, which it
- * shares with other processes of the same proxy. Any thread may call its methods.
+ * Counts the file descriptors of this process's connections against the configured limit, which is
+ * shared with other processes of the same proxy. Thread-safe.
  */
 public final class DescriptorBudget {
-    /** What the process needs for itself: files, selectors, the listener, the watch. */
+    /** Descriptors used by other things than connections: files, selectors, listener, watch. */
     private static final int PROCESS_DESCRIPTORS = 24;
 
     /**
-     * The share of the budget from which on clients' connections end with their answer. Guards
-     * against idle connections that keep others out, as clients get a third of all for their
-     * requests.
+     * The share of the budget above which each client connection is closed with its next response.
+     * Guards against idle client connections that keep other clients out: clients get a third of
+     * all descriptors for their requests.
      */
-    private static final double CROWDED_SHARE = 0.35;
+    private static final double KEEP_ALIVE_SHARE = 0.35;
 
     /**
-     * From here on no connection to a server is opened if there is a choice, and idle ones close.
+     * The share of the budget above which a connection to a server is opened only if it is
+     * unavoidable, and idle connections are closed.
      */
     private static final double FULL_SHARE = 0.75;
 
-    /** What clients never get, so that a connection to a server can be opened whatever they do. */
+    /**
+     * The share that clients cannot use, so that a connection to a server can be opened however
+     * many clients connect.
+     */
     private static final double UPSTREAM_RESERVED_SHARE = 0.125;
 
-    /** What connections may take up that only wait for their client to close. */
+    /** The share of connections that only wait for their client to close. */
     private static final double LINGERING_SHARE = 0.0625;
 
     /**
-     * The most connections that are accepted and not yet admitted, or rejected and not yet closed.
+     * The most connections that may be accepted and not yet admitted, or rejected and not yet
+     * closed.
      */
     static final int MAX_PENDING_ACCEPTED = 8;
 
-    private final int crowdedLimit;
+    private final int keepAliveLimit;
     private final int fullLimit;
     private final int exhaustedLimit;
     private final int maxClients;
@@ -44,14 +49,14 @@
     private final AtomicInteger pendingAccepted = new AtomicInteger();
     private volatile int siblingDescriptors;
 
-    /** The whole budget, with nothing open yet. */
+    /** Creates a budget of which no descriptor is used yet. */
     public DescriptorBudget(ProxyConfig.Network network) {
         int adminDescriptors = network.admin().isPresent() ? AdminServer.MAX_SOCKETS : 0;
         exhaustedLimit = network.maxSockets() - PROCESS_DESCRIPTORS - adminDescriptors;
-        crowdedLimit = (int) (CROWDED_SHARE * exhaustedLimit);
+        keepAliveLimit = (int) (KEEP_ALIVE_SHARE * exhaustedLimit);
         fullLimit = (int) (FULL_SHARE * exhaustedLimit);
         int clientShare = (int) ((1 - UPSTREAM_RESERVED_SHARE) * exhaustedLimit);
-        // Guards against the smallest limits, in which all clients would be rejected.
+        // Guards against rejecting all clients where the configured limit is very small.
         maxClients =
                 Math.max(
                         Math.min(clientShare, MAX_PENDING_ACCEPTED),
@@ -59,7 +64,7 @@
         maxLingering = (int) (LINGERING_SHARE * exhaustedLimit);
     }
 
-    /** Counts a connection that is open, or about to be opened. */
+    /** Counts a connection as open when it has been opened, or is about to be. */
     public void opened() {
         openDescriptors.incrementAndGet();
     }
@@ -67,48 +72,48 @@
     /**
      * Counts a connection as closed.
      *
-     * @return how many are still open
+     * @return the number of descriptors that are still open
      */
     public int closed() {
         return openDescriptors.decrementAndGet();
     }
 
-    /** The descriptors that this process's connections take up. */
+    /** The number of descriptors that this process's connections use. */
     public int openDescriptors() {
         return openDescriptors.get();
     }
 
-    /** Sets what other processes take up of the budget, as they have published it last. */
+    /** Sets the number of descriptors that the other processes have last reported to use. */
     public void setSiblingDescriptors(int descriptors) {
         siblingDescriptors = descriptors;
     }
 
     /**
-     * Whether nothing is left. Two processes share one budget; while both fit into it each keeps to
-     * its own limits.
+     * Whether the budget is used up by this process and the others together. While both of two
+     * processes fit into the budget, each observes only its own limits.
      */
     public boolean isExhausted() {
         return openDescriptors() + siblingDescriptors >= exhaustedLimit;
     }
 
-    /** Whether connections to servers are to be opened only if there is no other way. */
+    /** Whether a connection to a server should be opened only if it is unavoidable. */
     public boolean isUpstreamFull() {
         return openDescriptors() >= fullLimit || isExhausted();
     }
 
-    /** With so many open descriptors clients' connections end with their answer. */
-    int crowdedLimit() {
-        return crowdedLimit;
+    /** The open descriptors from which each client connection is closed with its next response. */
+    int keepAliveLimit() {
+        return keepAliveLimit;
     }
 
-    /** With so many open descriptors idle connections are closed. */
+    /** The number of open descriptors from which idle connections are closed. */
     int fullLimit() {
         return fullLimit;
     }
 
     /**
-     * The most connections that clients may have; with those that are not yet admitted, or rejected
-     * and not yet closed, they leave what is reserved for servers.
+     * The most connections that clients may have. Together with the connections that are not yet
+     * admitted, or rejected and not yet closed, they leave free what is reserved for servers.
      */
     int maxClients() {
         return maxClients;
@@ -120,25 +125,25 @@
     }
 
     /**
-     * Whether another connection may be accepted. Guards against a crowd at a busy reactor: what is
-     * accepted and not yet counted takes up descriptors. A client that waits in the system's queue
-     * meanwhile takes up none.
+     * Whether another connection may be accepted. Guards against a burst of connections while the
+     * reactor is busy: connections that are accepted and not yet counted use descriptors, whereas
+     * those in the system's accept queue use none.
      */
     boolean canAccept() {
         return pendingAccepted.get() < MAX_PENDING_ACCEPTED;
     }
 
-    /** Counts a connection that is accepted, until it is admitted, or rejected and closed. */
+    /** Counts an accepted connection as pending, until it is admitted, or rejected and closed. */
     void addPendingAccepted() {
         pendingAccepted.incrementAndGet();
     }
 
-    /** An accepted connection is admitted, and counted as open by now, or is closed. */
+    /** Ends the pending state of a connection that is now counted as open, or is closed. */
     void removePendingAccepted() {
         pendingAccepted.decrementAndGet();
     }
 
-    /** Connections that are accepted and not yet admitted, or rejected and not yet closed. */
+    /** The number of connections accepted and not yet admitted, or rejected and not yet closed. */
     int pendingAccepted() {
         return pendingAccepted.get();
     }
--- a/src/main/java/cairnbridge/proxy/ForwardingSession.java
+++ b/src/main/java/cairnbridge/proxy/ForwardingSession.java
@@ -17,17 +17,18 @@
 import org.apache.hc.core5.util.Timeout;
 
 /**
- * A session that gives all calls to another one, but those that read, close or ask for the state.
+ * A session that forwards all calls to another session, except those that read, close or query the
+ * state: these are left to the subclass.
  */
 abstract class ForwardingSession implements ProtocolIOSession {
     private final ProtocolIOSession session;
 
-    /** Forwards to a session. */
+    /** Creates a session that forwards to the given one. */
     ForwardingSession(ProtocolIOSession session) {
         this.session = session;
     }
 
-    /** The session behind this one. */
+    /** The session that calls are forwarded to. */
     final ProtocolIOSession delegate() {
         return session;
     }
--- a/src/main/java/cairnbridge/proxy/GracefulShutdown.java
+++ b/src/main/java/cairnbridge/proxy/GracefulShutdown.java
@@ -6,14 +6,14 @@
 import java.util.logging.Logger;
 
 /**
- * The planned end of a proxy, up to the point where it has no clients left: it serves on as long as
- * a request can still be answered, finishes what it has, and closes the connections of its clients.
- * It runs once, on the thread that asks for it, and takes a bounded time.
+ * The drain phase of a planned shutdown: continues to serve as long as a new request can still be
+ * answered in time, finishes the requests in flight and closes the client connections. It runs
+ * once, on the calling thread, in bounded time.
  */
 final class GracefulShutdown {
     private static final Logger LOG = Logger.getLogger(GracefulShutdown.class.getName());
 
-    /** From the last request in time until no more connections are accepted. */
+    /** How long connections are still accepted after the proxy has stopped being ready. */
     private static final long CLOSE_GRACE_MILLIS = 200;
 
     private static final long DRAIN_POLL_MILLIS = 10;
@@ -25,7 +25,7 @@
     private final ConnectionReactor reactor;
     private final RequestCoordinator coordinator;
 
-    /** Changes nothing yet. */
+    /** Creates the drain phase without starting it; see {@link #drain}. */
     GracefulShutdown(ProxyComponents components) {
         this.components = components;
         criticalThreads = components.criticalThreads();
@@ -35,8 +35,9 @@
     }
 
     /**
-     * Returns once all clients have had their answers, or when time is up. It returns early, with
-     * the thread's interrupt flag set, if the thread is interrupted.
+     * Drains the proxy; returns once all requests are answered and all client connections closed,
+     * or when the time is up. Returns early, with the thread's interrupt flag set, if the thread is
+     * interrupted.
      */
     void drain() {
         LOG.log(
@@ -46,19 +47,20 @@
                     components.config().name(), Integer.toString(coordinator.activeRequestCount())
                 });
         long longestTtlMillis = longestTtlMillis();
-        // Guards against a TTL of the settings that is longer than the platform waits before it
-        // kills.
+        // Guards against a configured TTL that is longer than the platform waits before it kills
+        // the
+        // process.
         long servingMillis = TimeBudget.shutdownServingMillis(longestTtlMillis);
-        long endingMillis = TimeBudget.shutdownEndMillis(longestTtlMillis);
-        long endNanos = System.nanoTime() + endingMillis * NANOS_PER_MILLI;
+        long totalMillis = TimeBudget.shutdownEndMillis(longestTtlMillis);
+        long deadlineNanos = System.nanoTime() + totalMillis * NANOS_PER_MILLI;
         announceDeadline(TimeBudget.shutdownAnsweringMillis(longestTtlMillis));
         try {
             if (components.siblings().hasReadySuccessor()) {
-                drainToSuccessor(endNanos - (endingMillis - servingMillis) * NANOS_PER_MILLI);
+                drainToSuccessor(deadlineNanos - (totalMillis - servingMillis) * NANOS_PER_MILLI);
             } else {
                 serveThenClose(servingMillis);
             }
-            awaitLastAnswers(endNanos);
+            awaitPendingRequests(deadlineNanos);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -73,7 +75,7 @@
         return Ticks.toMillis(longestTtlTicks);
     }
 
-    /** No request is kept longer than this from now on. */
+    /** Limits the deadlines of all requests, also of those in flight. */
     private void announceDeadline(long millisFromNow) {
         long deadlineTicks = components.clock().now() + Ticks.fromMillis(millisFromNow);
         listenerState.setShutdownDeadline(deadlineTicks);
@@ -81,8 +83,9 @@
     }
 
     /**
-     * Guards against a gap while the proxy that was restarted before is not ready yet: clients
-     * whose connections stay open are served here meanwhile, no request being kept beyond the end.
+     * Guards against a gap in service while the proxy that was restarted before this one is not
+     * ready yet: clients with open connections are still served here, and no request is kept beyond
+     * the shutdown deadline.
      */
     private void serveThenClose(long servingMillis) throws InterruptedException {
         Thread.sleep(servingMillis);
@@ -94,16 +97,16 @@
     }
 
     /**
-     * Guards against requests that meet a closed connection: each connection is closed with its
-     * next answer.
+     * Guards against requests that are sent on a connection which this process has closed: each
+     * connection is closed with its next response.
      */
-    private void drainToSuccessor(long untilNanos) throws InterruptedException {
+    private void drainToSuccessor(long deadlineNanos) throws InterruptedException {
         criticalThreads.allowEnds();
         listenerState.startDraining();
         LOG.log(Level.INFO, "{0} hands over to its successor", components.config().name());
         divertNewConnections();
         reactor.stopListening();
-        while (reactor.clientConnectionCount() > 0 && System.nanoTime() < untilNanos) {
+        while (reactor.clientConnectionCount() > 0 && System.nanoTime() < deadlineNanos) {
             Thread.sleep(DRAIN_POLL_MILLIS);
         }
     }
@@ -115,16 +118,17 @@
     }
 
     /**
-     * Guards against an answer cut short: its connection is closed once its last byte is written.
+     * Guards against a truncated response: a connection is closed only once the last byte of its
+     * response is written.
      */
-    private void awaitLastAnswers(long untilNanos) throws InterruptedException {
+    private void awaitPendingRequests(long deadlineNanos) throws InterruptedException {
         do {
             reactor.closeIdleClients();
             Thread.sleep(DRAIN_POLL_MILLIS);
-        } while (hasOpenWork() && System.nanoTime() < untilNanos);
+        } while (hasPendingWork() && System.nanoTime() < deadlineNanos);
     }
 
-    private boolean hasOpenWork() {
+    private boolean hasPendingWork() {
         return coordinator.activeRequestCount() > 0 || reactor.clientConnectionCount() > 0;
     }
 }
--- a/src/main/java/cairnbridge/proxy/LingeringSession.java
+++ b/src/main/java/cairnbridge/proxy/LingeringSession.java
@@ -10,12 +10,12 @@
 import org.apache.hc.core5.reactor.ProtocolIOSession;
 
 /**
- * A client's session whose planned close lingers: the output is shut down, what still comes is
- * discarded, and the socket is closed once the client closes its side. Guards against a close over
- * unread bytes: it resets the connection, and the last answer may go with it. What crosses the
- * close is not read as a request: its client sees the connection end and sends it elsewhere.
+ * A client session with a lingering close: the output is shut down, further input is discarded, and
+ * the socket is closed once the client closes its side. Guards against closing a socket with unread
+ * bytes, which resets the connection and may lose the last response. A request that arrives during
+ * the close is not processed: its client sees the end of the connection and sends it elsewhere.
  *
- * <p>It is read on the reactor's thread; any thread may close it or ask for its state.
+ * <p>It is read on the reactor's thread only; any thread may close it or query its state.
  */
 final class LingeringSession extends ForwardingSession {
     private static final int SCRATCH_BYTES = 4096;
@@ -26,13 +26,13 @@
     private volatile long closingAtNanos = NOT_CLOSING;
     private volatile boolean peerClosed;
 
-    /** Reactor's thread only. */
+    /** The bytes discarded so far. Reactor's thread only. */
     private long discardedBytes;
 
     /**
-     * A session that is open.
+     * Wraps an open session.
      *
-     * @param onClosing told once the output has been shut down
+     * @param onClosing called with this session when its output has been shut down
      */
     LingeringSession(ProtocolIOSession session, Consumer<LingeringSession> onClosing) {
         super(session);
@@ -50,7 +50,7 @@
     }
 
     /**
-     * For how long it has waited for the client to close, in milliseconds.
+     * How long the session has waited for the client to close its side, in milliseconds.
      *
      * @param nowNanos the time on the clock of {@link System#nanoTime}
      */
@@ -59,16 +59,17 @@
     }
 
     /**
-     * Whether the client has closed its side: it has gone then, whether or not it would still read.
+     * Whether the client has closed its side. It is then treated as disconnected, although it might
+     * still read.
      */
     boolean hasPeerClosed() {
         return peerClosed;
     }
 
     /**
-     * Reads what there is and discards it. Called on the reactor's thread.
+     * Reads the available input and discards it. Called on the reactor's thread.
      *
-     * @return the bytes discarded so far
+     * @return the total number of bytes discarded so far
      * @throws IOException if the client has reset the connection
      */
     long discardInput() throws IOException {
@@ -83,8 +84,8 @@
     }
 
     /**
-     * Goes on waiting for the client to close, once the output has been shut down: closes the
-     * socket as soon as it does, or has sent too much. Called on the reactor's thread.
+     * Handles input after the output has been shut down: closes the socket if the client has closed
+     * its side, or has sent too much. Called on the reactor's thread.
      */
     void linger(long maxDiscardedBytes) {
         try {
@@ -92,7 +93,7 @@
                 release();
             }
         } catch (IOException e) {
-            // The client has reset the connection: nothing is owed to anyone.
+            // The client has reset the connection, so there is no response left to protect.
             delegate().close(CloseMode.IMMEDIATE);
         }
     }
--- a/src/main/java/cairnbridge/proxy/ListenerFilter.java
+++ b/src/main/java/cairnbridge/proxy/ListenerFilter.java
@@ -10,8 +10,8 @@
 import java.util.logging.Logger;
 
 /**
- * Has the system give all new connections of a group of listening sockets to one of them. Java has
- * no call for that, so that the C library is called.
+ * Makes the system give all new connections of a group of listening sockets to one of them. Java
+ * has no API for this, so it calls the C library.
  */
 final class ListenerFilter {
     private static final Logger LOG = Logger.getLogger(ListenerFilter.class.getName());
@@ -30,13 +30,13 @@
 
     private static final int OPERAND_OFFSET = 4;
 
-    /** The calls of the C library that are needed. */
+    /** The functions of the C library that are called. */
     private interface SystemLibrary extends Library {
         int setsockopt(int descriptor, int level, int option, Pointer value, int length)
                 throws LastErrorException;
     }
 
-    /** Loads the C library with its first use. */
+    /** Loads the C library when this class is first used. */
     private static final class LoadedLibrary {
         private static final SystemLibrary SYSTEM = Native.load("c", SystemLibrary.class);
 
@@ -46,24 +46,24 @@
     private ListenerFilter() {}
 
     /**
-     * Loads what {@link #selectMember} needs, which takes some hundred milliseconds on a busy
-     * machine. Where that fails {@link #selectMember} says so.
+     * Loads the library that {@link #selectMember} needs, which takes some hundred milliseconds on
+     * a busy machine. A failure to load it is reported by {@link #selectMember}.
      */
     static void prepare() {
         try {
-            LOG.log(Level.FINE, "loaded: {0}", LoadedLibrary.SYSTEM);
+            LOG.log(Level.FINE, "C library loaded: {0}", LoadedLibrary.SYSTEM);
         } catch (LinkageError e) {
-            LOG.log(Level.FINE, "cannot be loaded: {0}", e.toString());
+            LOG.log(Level.FINE, "C library cannot be loaded: {0}", e.toString());
         }
     }
 
     /**
-     * Gives all new connections to one socket of a group. Where the group has no such socket, as
-     * when that has been closed, the system chooses again.
+     * Gives all new connections to one socket of a group. If the group has no socket at this index,
+     * for instance because it has been closed, the system distributes connections as before.
      *
      * @param descriptor the file descriptor of any socket of the group
      * @param index the position of the chosen socket in the group, from 0
-     * @throws IOException if the system refuses, or its library cannot be called
+     * @throws IOException if the system rejects the filter, or the C library cannot be called
      */
     static void selectMember(int descriptor, int index) throws IOException {
         try (Memory instruction = new Memory(INSTRUCTION_BYTES);
@@ -82,7 +82,7 @@
                             program,
                             (int) program.size());
         } catch (LastErrorException | LinkageError e) {
-            throw new IOException("cannot choose a listening socket: " + e.getMessage(), e);
+            throw new IOException("cannot select a listening socket: " + e.getMessage(), e);
         }
     }
 }
--- a/src/main/java/cairnbridge/proxy/ListenerGroup.java
+++ b/src/main/java/cairnbridge/proxy/ListenerGroup.java
@@ -16,11 +16,11 @@
 import java.util.stream.Stream;
 
 /**
- * The listening sockets of one address, as Linux shows them in {@code /proc}. With {@code
- * SO_REUSEPORT} several processes listen on an address, and the system chooses one for each new
- * connection.
+ * The listening sockets of one address, as Linux lists them in {@code /proc}. With {@code
+ * SO_REUSEPORT}, several processes can listen on an address, and the system selects one of them for
+ * each new connection.
  *
- * @param size how many sockets listen on the address, over all processes
+ * @param size the number of sockets of all processes that listen on the address
  * @param ownDescriptor the file descriptor of this process's socket among them
  */
 record ListenerGroup(int size, int ownDescriptor) {
@@ -30,21 +30,21 @@
     private static final String SOCKET_LINK_PREFIX = "socket:[";
     private static final String LISTENING = "0A";
 
-    /** Columns of a socket table, split at blanks. */
+    /** Column indexes of a row of a socket table, split at whitespace. */
     private static final int LOCAL_ADDRESS_COLUMN = 1;
 
     private static final int STATE_COLUMN = 3;
     private static final int INODE_COLUMN = 9;
 
-    /** An address is written as words in the byte order of the machine, little-endian here. */
+    /** Addresses are printed as words in the machine's byte order, assumed to be little-endian. */
     private static final int WORD_BYTES = 4;
 
     private static final int HEX_RADIX = 16;
 
     /**
-     * The group of an address; empty if this process does not listen on it.
+     * Finds the group of an address; empty if this process does not listen on it.
      *
-     * @throws IOException if the system shows no sockets
+     * @throws IOException if the socket tables or the descriptors cannot be read
      */
     static Optional<ListenerGroup> find(InetSocketAddress address) throws IOException {
         List<String> inodes = listeningInodes(address);
@@ -68,8 +68,8 @@
     }
 
     /**
-     * Reads a table up to its last listening socket: those come first. Guards against the time and
-     * the memory that tens of thousands of connections would take.
+     * Reads a table only up to its last listening socket: listening sockets come first. Guards
+     * against the time and the memory that the rows of tens of thousands of connections need.
      */
     private static void addListeningInodes(
             BufferedReader rows, InetSocketAddress address, List<String> inodes)
@@ -88,7 +88,7 @@
         }
     }
 
-    /** Reads an address such as {@code 0100007F:1F90}. */
+    /** Parses an address such as {@code 0100007F:1F90}. */
     private static InetSocketAddress parseAddress(String text) throws UnknownHostException {
         int colon = text.indexOf(':');
         byte[] words = HexFormat.of().parseHex(text, 0, colon);
@@ -118,7 +118,7 @@
                 descriptors.put(inode, Integer.parseInt(link.getFileName().toString()));
             }
         } catch (IOException e) {
-            // It was closed since the folder was listed.
+            // The descriptor was closed after the directory was listed.
         }
     }
 }
--- a/src/main/java/cairnbridge/proxy/ListenerState.java
+++ b/src/main/java/cairnbridge/proxy/ListenerState.java
@@ -5,23 +5,23 @@
 import java.util.List;
 
 /**
- * Whether the proxy accepts requests. Readiness, the closing of connections with their answers and
- * the closing of idle connections all derive from this one state. Any thread may call it.
+ * Whether the proxy accepts requests. Readiness, closing connections after a response and closing
+ * idle connections are all derived from this state. Thread-safe.
  */
 public final class ListenerState {
     /** Whether the proxy accepts requests. */
     public enum State {
-        /** Not yet; connections may be open already. */
+        /** Requests are not accepted yet; connections may be open already. */
         STARTING,
         /** Requests are accepted. */
         SERVING,
-        /** Requests are answered, and clients asked to go elsewhere. */
+        /** Requests are answered, but clients are asked to use another proxy. */
         STANDBY,
-        /** The proxy shuts down. */
+        /** The proxy is shutting down. */
         DRAINING
     }
 
-    /** The slowest that a client may send its body, in bytes per millisecond. */
+    /** The lowest rate at which a client may send a body, in bytes per millisecond. */
     public static final long MIN_BODY_BYTES_PER_MILLI = 48;
 
     private volatile State state = State.STARTING;
@@ -29,53 +29,54 @@
     @GuardedBy("this")
     private boolean standbyRequested;
 
-    /** Written by ConnectionReactor until it calls {@link #setCrowded}. */
-    volatile boolean crowded;
+    /** See {@link #setKeepAliveSuspended}; ClientConnections writes the field directly. */
+    volatile boolean keepAliveSuspended;
 
-    /** Read by ProxyServer and Warmup until they are given the clock or the request context. */
+    /** The clock of all deadlines; Warmup reads it from here. */
     final TickClock clock;
 
-    /** Set by Warmup until it is a {@link RequestFilter} of the request context. */
+    /** Set when the warm-up starts; {@link WarmupFilter} then passes the warm-up requests to it. */
     volatile Warmup warmup;
 
     private final RequestContext requestContext;
 
-    /** Until ProxyServer makes the request context itself, which ClientExchange is then given. */
+    /** Creates the state of a proxy that is starting, together with its request context. */
     ListenerState(TickClock clock, List<String> categories, ProxyMetrics metrics) {
         this.clock = clock;
         requestContext = new RequestContext(clock, categories, metrics);
         requestContext.setFilter(new WarmupFilter());
     }
 
-    /** Calls Warmup as long as that is no filter itself. */
+    /** Passes the requests of the warm-up to {@link Warmup}. */
     private final class WarmupFilter implements RequestFilter {
         @Override
         public boolean intercept(ClientExchange exchange, long deadlineTicks) {
             Warmup current = warmup;
-            boolean owned = current != null && current.isWarmupRequest(exchange.traceId());
-            if (owned) {
+            boolean isWarmupRequest =
+                    current != null && current.isWarmupRequest(exchange.traceId());
+            if (isWarmupRequest) {
                 current.answerWarmup(exchange, deadlineTicks);
             }
-            return owned;
+            return isWarmupRequest;
         }
     }
 
-    /** As {@link RequestContext#setShutdownDeadline}, until ProxyServer calls that. */
+    /** See {@link RequestContext#setShutdownDeadline}. */
     void setShutdownDeadline(long ticks) {
         requestContext.setShutdownDeadline(ticks);
     }
 
-    /** What the requests of this listener are read with. */
+    /** The context in which requests to this listener are parsed and limited. */
     RequestContext requestContext() {
         return requestContext;
     }
 
-    /** The present state. */
+    /** The current state. */
     public State state() {
         return state;
     }
 
-    /** The start is complete. */
+    /** Ends the start: the proxy serves, or is in standby if that was requested meanwhile. */
     public synchronized void startServing() {
         if (state == State.STARTING) {
             state = standbyRequested ? State.STANDBY : State.SERVING;
@@ -83,8 +84,8 @@
     }
 
     /**
-     * Puts the proxy into standby or back. Guards against a command that makes a proxy ready which
-     * has not started yet, or which shuts down.
+     * Puts the proxy into standby or back into service. Guards against a command that makes a proxy
+     * ready before its start is complete, or while it shuts down.
      */
     public synchronized void setStandby(boolean on) {
         standbyRequested = on;
@@ -93,24 +94,27 @@
         }
     }
 
-    /** The proxy shuts down; no other state follows. */
+    /** Begins the shutdown; the state does not change any more. */
     public synchronized void startDraining() {
         state = State.DRAINING;
     }
 
-    /** Whether load balancers may send clients here. */
+    /** Whether load balancers may send clients to this proxy. */
     public boolean isReady() {
         return state == State.SERVING;
     }
 
-    /** Whether a connection is to be closed with the next answer on it. */
+    /** Whether each connection is closed with its next response. */
     public boolean isClosingConnections() {
         State current = state;
-        return crowded || current == State.STANDBY || current == State.DRAINING;
+        return keepAliveSuspended || current == State.STANDBY || current == State.DRAINING;
     }
 
-    /** Whether clients hold so many connections that each is to end with its next answer. */
-    public void setCrowded(boolean crowded) {
-        this.crowded = crowded;
+    /**
+     * Sets whether so many descriptors are open that each client connection is closed with its next
+     * response.
+     */
+    public void setKeepAliveSuspended(boolean crowded) {
+        this.keepAliveSuspended = crowded;
     }
 }
--- a/src/main/java/cairnbridge/proxy/MalformedRequestException.java
+++ b/src/main/java/cairnbridge/proxy/MalformedRequestException.java
@@ -1,8 +1,9 @@
 package cairnbridge.proxy;
 
 /**
- * A request head lacks what the proxy needs, or has it malformed. The message is the body of the
- * answer 400. It has no stack trace, as strangers may cause many of them.
+ * Thrown if a part of a request head that the proxy needs is missing or malformed. The message is
+ * the body of the 400 response. No stack trace is recorded, because untrusted clients can trigger
+ * many of these exceptions.
  */
 final class MalformedRequestException extends Exception {
     private static final long serialVersionUID = 1L;
--- a/src/main/java/cairnbridge/proxy/MessageBody.java
+++ b/src/main/java/cairnbridge/proxy/MessageBody.java
@@ -4,18 +4,18 @@
 import org.apache.hc.core5.http.EntityDetails;
 import org.apache.hc.core5.http.nio.DataStreamChannel;
 
-/** The body of a message that is sent. */
+/** The body of an outgoing request or response. */
 public interface MessageBody {
-    /** How many bytes there are to write; at least 1 while its end is still to be written. */
+    /** The number of bytes that can be written now; at least 1 while the end is not written yet. */
     int availableBytes();
 
-    /** What the message's head says of the body; null if there is none. */
+    /** The description of the body for the message head; null if there is no body. */
     EntityDetails entityDetails();
 
     /**
-     * Writes what the channel takes.
+     * Writes as many bytes as the channel accepts.
      *
-     * @return true, once, if that was the last byte
+     * @return true, once, when the last byte has been written
      */
     boolean writeTo(DataStreamChannel out) throws IOException;
 }
--- a/src/main/java/cairnbridge/proxy/MessageHeadParser.java
+++ b/src/main/java/cairnbridge/proxy/MessageHeadParser.java
@@ -4,17 +4,16 @@
 import org.apache.hc.core5.http.ProtocolException;
 import org.apache.hc.core5.http.nio.SessionInputBuffer;
 
-/** What the parsers of request and response heads check alike; for the reactor thread. */
+/** The check that request and response head parsers share; used on the reactor's thread. */
 final class MessageHeadParser {
     private MessageHeadParser() {}
 
     /**
-     * Guards against a head that breaks off: the library would take what has come for the whole of
-     * it.
+     * Guards against a truncated head, which the library would accept as complete.
      *
-     * @param head what the library has parsed; null if it waits for more data
-     * @param ended whether the connection delivers no more
-     * @return the head
+     * @param head the head that the library has parsed; null if it needs more data
+     * @param ended whether the connection has reached the end of its input
+     * @return the given head
      */
     static <T extends HttpMessage> T requireComplete(
             T head, SessionInputBuffer buffer, boolean ended) throws ProtocolException {
--- a/src/main/java/cairnbridge/proxy/ReadLoop.java
+++ b/src/main/java/cairnbridge/proxy/ReadLoop.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.util.function.LongSupplier;
 
-/** Reads a streamed body beyond the one buffer that a turn of the reactor reads. */
+/** Reads more of a streamed body per read event than the one buffer that the library reads. */
 public final class ReadLoop {
     private static final int MAX_EXTRA_READS = 15;
     private static final long NOT_READABLE = -1;
@@ -14,7 +14,7 @@
     @FunctionalInterface
     public interface BufferReader {
         /**
-         * Reads what there is, up to one buffer.
+         * Reads the available bytes, up to one buffer.
          *
          * @throws IOException if the connection has failed
          */
@@ -22,12 +22,13 @@
     }
 
     /**
-     * Reads on until no more has come, or the limit of a turn is reached. Guards against a turn of
-     * the reactor for every buffer of a streamed body. Called on the reactor's thread.
+     * Reads until a read makes no progress, or the limit per read event is reached. Guards against
+     * a select cycle of the reactor for each buffer of a streamed body. Called on the reactor's
+     * thread.
      *
      * @param reader reads the next buffer
-     * @param streamedBytesIfReadable the bytes of the body so far, or less than 0 if it is not
-     *     streamed or takes no more for now
+     * @param streamedBytesIfReadable returns the number of bytes of the body received so far, or
+     *     less than 0 if the body is not streamed or no more of it can be read now
      * @throws IOException if the connection has failed
      */
     public static void readWhileProgressing(
--- a/src/main/java/cairnbridge/proxy/RequestBody.java
+++ b/src/main/java/cairnbridge/proxy/RequestBody.java
@@ -7,17 +7,18 @@
 import org.apache.hc.core5.http.nio.CapacityChannel;
 
 /**
- * The body of one client request: buffered whole while it is short, streamed through a pipe once it
- * is longer than a buffer. The reactor thread alone writes it. The volatile fields are read by any
- * thread, the bytes by the coordinator thread after the request was announced to it.
+ * The body of one client request: buffered as a whole while it is short, streamed through a pipe
+ * once it does not fit into the buffer. Only the reactor's thread writes it. Any thread may read
+ * the volatile fields; the coordinator's thread reads the bytes after it was notified of the
+ * request.
  */
 final class RequestBody {
     private static final byte[] NO_BYTES = {};
 
-    /** Null while no body is expected: before the head, and once the body is complete or piped. */
+    /** Null before the head is received, and once the body is complete, streamed or dropped. */
     private BufferedBody buffer;
 
-    /** As the head says; negative if it does not. */
+    /** The length according to the head; negative if it is unknown. */
     private long lengthBytes;
 
     private byte[] bytes = NO_BYTES;
@@ -27,13 +28,13 @@
 
     private volatile long receivedBytes;
 
-    /** The head has announced a body. */
+    /** Prepares for the body that the head has announced. */
     void expect(EntityDetails entity) {
         buffer = new BufferedBody(entity);
         lengthBytes = entity.getContentLength();
     }
 
-    /** Whether a body is expected that has so far been buffered. */
+    /** Whether a body is being received into the buffer. */
     boolean isBuffering() {
         return buffer != null;
     }
@@ -42,38 +43,38 @@
         return pipe != null;
     }
 
-    /** The pipe of a streamed body; null for one that is buffered. */
+    /** The pipe of a streamed body; null if the body is buffered. */
     BodyPipe pipe() {
         return pipe;
     }
 
-    /** A buffered body once it is complete; empty if there is none. */
+    /** The bytes of a buffered body once it is complete; otherwise empty. */
     byte[] bytes() {
         return bytes;
     }
 
-    /** How much of the body has been received. */
+    /** The number of bytes of the body that have been received. */
     long receivedBytes() {
         return receivedBytes;
     }
 
-    /** Bytes have been received. */
+    /** Adds to the number of received bytes. */
     void countReceived(int count) {
         long total = receivedBytes + count;
         receivedBytes = total;
     }
 
-    /** Whether more has been received than any body may have. */
+    /** Whether the received bytes exceed the longest permitted body. */
     boolean isTooLong() {
         return receivedBytes > MessageFraming.MAX_BODY_BYTES;
     }
 
-    /** Takes all of it into the buffer; false, and nothing taken, if the body grows too long. */
+    /** Buffers all bytes of the source; false, and nothing buffered, if the body gets too long. */
     boolean tryBuffer(ByteBuffer source) {
         return buffer.tryAppend(source);
     }
 
-    /** Ends the buffering of a body that is complete, or of none. */
+    /** Completes a buffered body; does nothing if the request has no body. */
     void completeBuffered() {
         if (buffer != null) {
             bytes = buffer.toByteArray();
@@ -82,10 +83,10 @@
     }
 
     /**
-     * Streams from now on a body that is too long for its buffer.
+     * Switches to streaming a body that is too long for its buffer.
      *
-     * @param pipedBytes what all pipes buffer together
-     * @param source the bytes that follow what is buffered
+     * @param pipedBytes counts the bytes that all pipes of the proxy buffer
+     * @param source the bytes that follow the buffered ones
      */
     void startStreaming(AtomicLong pipedBytes, ByteBuffer source) {
         BodyPipe created = new BodyPipe(pipedBytes, lengthBytes);
@@ -95,24 +96,24 @@
         pipe = created;
     }
 
-    /** How much is yet to come, at most. */
+    /** The number of bytes still to be received, at most. */
     long remainingBytes() {
         return (lengthBytes < 0 ? MessageFraming.MAX_BODY_BYTES : lengthBytes) - receivedBytes;
     }
 
-    /** Frees the buffer of a body that is not wanted any more. */
+    /** Frees the buffer of a body that is no longer needed. */
     void releaseBuffer() {
         buffer = null;
     }
 
-    /** What is yet to come of a streamed body is discarded. */
+    /** Discards the unsent rest of a streamed body. */
     void discardStream() {
         if (pipe != null) {
             pipe.discard();
         }
     }
 
-    /** Grants the client capacity, now or, for a streamed body, once its pipe has room. */
+    /** Grants capacity to the client: at once, or, for a streamed body, once its pipe has room. */
     void requestCapacity(CapacityChannel channel) throws IOException {
         if (pipe != null) {
             pipe.requestCapacity(channel);
@@ -121,13 +122,13 @@
         }
     }
 
-    /** Whether the body stands still because the proxy accepts no more of it at present. */
+    /** Whether reading the body is paused because its pipe is full. */
     boolean isBackpressured() {
         BodyPipe current = pipe;
         return current != null && current.isBackpressured();
     }
 
-    /** Whether a streamed body stands still for too long. */
+    /** Whether a streamed body has made no progress for too long. */
     boolean isStalled(long nowNanos) {
         BodyPipe current = pipe;
         return current != null && current.isStalled(nowNanos);
--- a/src/main/java/cairnbridge/proxy/RequestFilter.java
+++ b/src/main/java/cairnbridge/proxy/RequestFilter.java
@@ -1,13 +1,13 @@
 package cairnbridge.proxy;
 
 /**
- * Sees each complete request before it is announced and may answer it instead. Called on the
- * reactor thread, and must not block.
+ * Is called with each complete request before the coordinator is notified of it, and may answer it
+ * instead. Called on the reactor's thread; must not block.
  */
 public interface RequestFilter {
-    /** Lets every request pass. */
+    /** Passes all requests on. */
     RequestFilter NONE =
-            // Not a lambda, which would be made at the start of the process.
+            // Not a lambda, whose class would be generated while the process starts.
             new RequestFilter() {
                 @Override
                 public boolean intercept(ClientExchange exchange, long deadlineTicks) {
@@ -16,11 +16,11 @@
             };
 
     /**
-     * Decides about a request whose last byte has been read.
+     * Called when the last byte of a request has been read.
      *
-     * @param deadlineTicks when the client expects its answer, on the proxy's clock
-     * @return true if the filter answers the request, now or later; it is then neither announced
-     *     nor counted
+     * @param deadlineTicks the time by which the client expects its response, on the proxy's clock
+     * @return true if the filter answers the request, now or later; the coordinator is then not
+     *     notified, and the request is not counted
      */
     boolean intercept(ClientExchange exchange, long deadlineTicks);
 }
--- a/src/main/java/cairnbridge/proxy/RequestHandler.java
+++ b/src/main/java/cairnbridge/proxy/RequestHandler.java
@@ -2,26 +2,26 @@
 
 import org.apache.hc.core5.http.nio.AsyncServerExchangeHandler;
 
-/** One request of a client and its answer, as the reactor looks after it. */
+/** One request of a client and its response, as the connection handling sees them. */
 interface RequestHandler extends AsyncServerExchangeHandler {
-    /** Whether the request has been read to its end. */
+    /** Whether the last byte of the request has been read. */
     boolean isRequestComplete();
 
-    /** Whether nothing is owed any more. */
+    /** Whether the response is written completely, or the client has disconnected. */
     boolean isFinished();
 
-    /** Whether the answer closes the connection. */
+    /** Whether the connection is closed after the response. */
     boolean isLastOnConnection();
 
-    /** Whether reading pauses, as the body that passes through waits for its taker. */
+    /** Whether reading is paused because the consumer of the streamed body is slower. */
     boolean isBackpressured();
 
-    /** Whether a body that passes through has stood still for too long. */
+    /** Whether a streamed body, of the request or the response, has stalled for too long. */
     boolean isStalled(long nowNanos);
 
-    /** The bytes of the request's body so far. */
+    /** The number of bytes of the request body received so far. */
     long receivedBytes();
 
-    /** The client's name for the request, for the log. */
+    /** The client's id of the request, for log messages. */
     String traceId();
 }
--- a/src/main/java/cairnbridge/proxy/RequestHandlerFactory.java
+++ b/src/main/java/cairnbridge/proxy/RequestHandlerFactory.java
@@ -2,12 +2,12 @@
 
 import java.util.function.Consumer;
 
-/** Creates the handler of each request that a client begins; called on the reactor's thread. */
+/** Creates a handler for each request of a client; called on the reactor's thread. */
 public interface RequestHandlerFactory {
     /**
      * Creates the handler of one request.
      *
-     * @param onReleased told once the library is done with the request
+     * @param onReleased called once the HTTP library no longer uses the handler
      * @param abortConnection closes the client's connection at once; callable on any thread
      */
     ClientExchange create(Consumer<ClientExchange> onReleased, Runnable abortConnection);
--- a/src/main/java/cairnbridge/proxy/RequestHandlers.java
+++ b/src/main/java/cairnbridge/proxy/RequestHandlers.java
@@ -8,19 +8,19 @@
 import org.apache.hc.core5.reactor.IOSession;
 
 /**
- * Creates the handlers of a client connection's requests and knows the latest of them. It is
- * changed on the reactor's thread; any thread may ask for the latest and the count.
+ * Creates the request handlers of one client connection and tracks the latest of them. Changed on
+ * the reactor's thread only; any thread may read the latest handler and the count.
  */
 final class RequestHandlers implements HandlerFactory<AsyncServerExchangeHandler> {
     private final IOSession session;
     private final RequestHandlerFactory factory;
     private volatile ClientExchange latest;
-    private volatile int createdCount;
+    private volatile int requestCount;
 
-    /** Reactor's thread only. */
+    /** Whether a request was pipelined. Reactor's thread only. */
     private boolean pipelined;
 
-    /** No requests yet; a request may abort the session. */
+    /** Creates an instance for a connection without requests; a request may abort the session. */
     RequestHandlers(IOSession session, RequestHandlerFactory factory) {
         this.session = session;
         this.factory = factory;
@@ -28,13 +28,13 @@
 
     @Override
     public AsyncServerExchangeHandler create(HttpRequest request, HttpContext context) {
-        int createdBefore = createdCount;
-        createdCount = createdBefore + 1;
+        int countBefore = requestCount;
+        requestCount = countBefore + 1;
         latest = factory.create(this::handleReleased, () -> session.close(CloseMode.IMMEDIATE));
         return latest;
     }
 
-    /** Guards against bodies kept in memory for as long as a connection is idle. */
+    /** Guards against keeping the body of a request in memory while its connection is idle. */
     private void handleReleased(ClientExchange released) {
         if (latest == released && !released.isLastOnConnection()) {
             latest = null;
@@ -46,13 +46,13 @@
         return latest;
     }
 
-    /** How many requests have begun. */
-    int createdCount() {
-        return createdCount;
+    /** The number of requests that have begun on the connection. */
+    int requestCount() {
+        return requestCount;
     }
 
     /**
-     * Whether no request is owed an answer; one whose head has not been read yet does not count.
+     * Whether no request waits for its response; a request whose head is incomplete does not count.
      */
     boolean isIdle() {
         ClientExchange current = latest;
@@ -60,21 +60,22 @@
     }
 
     /**
-     * Whether a request has begun whose last byte has not come; its head alone counts, too.
+     * Whether a request has begun whose last byte has not been read; a part of its head counts too.
      *
-     * @param createdBefore how many requests had begun before the last read
+     * @param countBefore the number of requests that had begun before the last read
      */
-    boolean isReading(int createdBefore) {
+    boolean isReading(int countBefore) {
         ClientExchange current = latest;
         if (current == null || current.isFinished()) {
-            return createdCount == createdBefore;
+            return requestCount == countBefore;
         }
         return !current.isRequestComplete();
     }
 
     /**
-     * Whether bytes that have come are sent before the answer to the request before them; from then
-     * on nothing is read as a request. Called on the reactor's thread, as the bytes are parsed.
+     * Whether received bytes belong to a pipelined request, sent before the response to the
+     * previous one, or follow the last response. Once this is true, no more requests are read from
+     * the connection. Called on the reactor's thread when bytes are about to be parsed.
      */
     boolean checkPipelined() {
         ClientExchange current = latest;
@@ -85,7 +86,7 @@
         return busy;
     }
 
-    /** Whether a request was sent before the one before it was answered. Reactor's thread only. */
+    /** Whether a client has pipelined a request on this connection. Reactor's thread only. */
     boolean wasPipelined() {
         return pipelined;
     }
--- a/src/main/java/cairnbridge/proxy/RequestHeadParser.java
+++ b/src/main/java/cairnbridge/proxy/RequestHeadParser.java
@@ -11,36 +11,37 @@
 import org.apache.hc.core5.http.nio.SessionInputBuffer;
 
 /**
- * Parses the request heads of one client connection, and rejects each whose end could be read in
- * two ways. For the reactor thread.
+ * Parses the request heads of one client connection, and rejects requests that are pipelined or
+ * whose length is ambiguous. Used on the reactor's thread.
  */
 public final class RequestHeadParser extends DefaultHttpRequestParser<HttpRequest> {
     private final BooleanSupplier requestOpen;
 
     /**
-     * A parser for one connection.
+     * Creates a parser for one connection.
      *
-     * @param requestOpen whether a request is open on this connection, or its last answer was given
+     * @param requestOpen whether a request on the connection has not been answered yet, or the last
+     *     response of the connection has begun
      */
     public RequestHeadParser(Http1Config httpConfig, BooleanSupplier requestOpen) {
         super(httpConfig, DefaultHttpRequestFactory.INSTANCE);
         this.requestOpen = requestOpen;
     }
 
-    /** What it throws is answered with its status, and the connection ends with that answer. */
+    /** The library answers an exception with an error response and closes the connection. */
     @Override
     public HttpRequest parse(SessionInputBuffer buffer, boolean ended)
             throws IOException, HttpException {
-        // Guards against hundreds of requests at once, and against what follows one that was
-        // malformed.
+        // Guards against hundreds of pipelined requests, and against the bytes that follow a
+        // malformed request.
         if (buffer.hasData() && requestOpen.getAsBoolean()) {
             throw new ProtocolException("one request at a time");
         }
         HttpRequest request =
                 MessageHeadParser.requireComplete(super.parse(buffer, false), buffer, ended);
-        // Guards against a request that hides in the body of another.
+        // Guards against request smuggling, where the body of one request hides another request.
         if (request != null) {
-            MessageFraming.requireClearLength(request, true);
+            MessageFraming.requireUnambiguousLength(request, true);
         }
         return request;
     }
--- a/src/main/java/cairnbridge/proxy/RequestParser.java
+++ b/src/main/java/cairnbridge/proxy/RequestParser.java
@@ -8,15 +8,15 @@
 import org.apache.hc.core5.http.Header;
 import org.apache.hc.core5.http.HttpRequest;
 
-/** Reads what the proxy needs off a request head; stateless, for any thread. */
+/** Reads the parts of a request head that the proxy uses. Stateless and thread-safe. */
 public final class RequestParser {
-    /** The client's id of a request; unique among the open ones. */
+    /** The client's id of a request; unique among the requests that are not answered yet. */
     public static final String TRACE_ID_HEADER = "X-Trace-Id";
 
-    /** How long the client waits for its answer, see {@link #parseTtlTicks}. */
+    /** How long the client waits for the response; see {@link #parseTtlTicks} for the format. */
     public static final String TTL_HEADER = "X-Expires-In";
 
-    /** Forwarded as it is; requests with one may be sent twice. */
+    /** Forwarded unchanged; a request with this header may be sent to servers more than once. */
     public static final String IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
 
     private static final String RETRY_HEADER = "X-Second-Try";
@@ -31,7 +31,7 @@
     private RequestParser() {}
 
     /**
-     * Reads the headers and the path that routing needs; everything else is forwarded unread.
+     * Reads the headers and the path that routing needs; other headers are not interpreted.
      *
      * @param target the path and query, see {@link #pathOf}
      */
@@ -64,8 +64,8 @@
     }
 
     /**
-     * The path and query of a request target. Guards against the absolute form, which every server
-     * has to accept: only its path is forwarded.
+     * Returns the path and query of a request target. Guards against forwarding the absolute form,
+     * which every HTTP server has to accept: its scheme and host are removed.
      */
     static String pathOf(String target) {
         int schemeEnd = target.startsWith("/") ? -1 : target.indexOf(SCHEME_SEPARATOR);
@@ -75,10 +75,11 @@
     }
 
     /**
-     * The ticks of a TTL header: a number and its unit, m for milliseconds or u for microseconds.
+     * Parses a TTL header, a number and its unit, m for milliseconds or u for microseconds, to
+     * ticks.
      *
      * @param text may be null
-     * @return 0 if the text is not a TTL, or shorter than a tick
+     * @return the TTL in ticks; 0 if the text is not a TTL, or is shorter than a tick
      */
     static long parseTtlTicks(String text) {
         int digits = text == null ? 0 : text.length() - 1;
--- a/src/main/java/cairnbridge/proxy/ResponseHeadParser.java
+++ b/src/main/java/cairnbridge/proxy/ResponseHeadParser.java
@@ -12,17 +12,17 @@
 import org.apache.hc.core5.http.nio.SessionInputBuffer;
 
 /**
- * Parses the response heads of one server connection. What it throws ends the connection, and the
- * exchange as broken. For the reactor thread.
+ * Parses the response heads of one server connection. An exception closes the connection and fails
+ * its exchange. Used on the reactor's thread.
  */
 public final class ResponseHeadParser extends DefaultHttpResponseParser<HttpResponse> {
     private final BooleanSupplier awaitingResponse;
 
     /**
-     * A parser for one connection.
+     * Creates a parser for one connection.
      *
-     * @param awaitingResponse whether a request has been sent on this connection that has no
-     *     complete response yet
+     * @param awaitingResponse whether a request has been sent on this connection whose response is
+     *     not complete yet
      */
     public ResponseHeadParser(Http1Config httpConfig, BooleanSupplier awaitingResponse) {
         super(httpConfig, DefaultHttpResponseFactory.INSTANCE);
@@ -32,16 +32,16 @@
     @Override
     public HttpResponse parse(SessionInputBuffer buffer, boolean ended)
             throws IOException, HttpException {
-        // Guards against bytes past an answer, which the next attempt would take for its own.
+        // Guards against bytes after a response, which the next attempt would read as its own.
         if (buffer.hasData() && !awaitingResponse.getAsBoolean()) {
-            throw new ProtocolException("bytes that nobody asked for");
+            throw new ProtocolException("data received without a pending request");
         }
         HttpResponse response =
                 MessageHeadParser.requireComplete(super.parse(buffer, false), buffer, ended);
-        // Guards against spoilt answers: without a length nothing tells a whole one from one that
-        // broke off.
+        // Guards against truncated responses: without a length, a truncated response cannot be told
+        // from a complete one.
         if (response != null && response.getCode() >= HttpStatus.SC_OK) {
-            MessageFraming.requireClearLength(response);
+            MessageFraming.requireUnambiguousLength(response);
         }
         return response;
     }
--- a/src/main/java/cairnbridge/proxy/ResponseSender.java
+++ b/src/main/java/cairnbridge/proxy/ResponseSender.java
@@ -16,43 +16,43 @@
 import org.apache.hc.core5.http.protocol.HttpContext;
 
 /**
- * The one answer to a client request: its head, its body and the outcome that it counts as. Opened
- * by the reactor thread, started by whoever calls {@link #tryStart} first, and written by the
- * reactor thread. Any thread may ask for its state.
+ * The response to a client request: its head, its body and the outcome that the metrics count. The
+ * reactor's thread opens it and writes the body; the first thread that calls {@link #tryStart}
+ * starts it. Any thread may query its state.
  */
 final class ResponseSender {
     private ResponseChannel channel;
     private HttpContext context;
-    private final AtomicBoolean answerStarted = new AtomicBoolean();
+    private final AtomicBoolean started = new AtomicBoolean();
     private volatile boolean lastOnConnection;
     private volatile boolean streaming;
 
-    /** Null while there is none, and for an answer that is no outcome of a client's request. */
+    /** Null while there is no response, and for a response that is not counted as an outcome. */
     private volatile RequestOutcome outcome;
 
     private MessageBody responseBody = new ByteArrayBody(new byte[0]);
 
-    /** The request's head has been received: this is where its answer goes. */
+    /** Sets the channel for the response, once the head of the request has been received. */
     void open(ResponseChannel responseChannel, HttpContext httpContext) {
         channel = responseChannel;
         context = httpContext;
     }
 
-    /** Asks the client for the body that it announced. */
+    /** Sends 100 Continue, which tells the client to send the body that it announced. */
     void sendContinue() throws HttpException, IOException {
         channel.sendInformation(new BasicHttpResponse(HttpStatus.SC_CONTINUE), context);
     }
 
-    /** True for the first caller, who answers or has found the client disconnected. */
+    /** True for the first caller only, which sends the response or handles the disconnect. */
     boolean tryStart() {
-        return answerStarted.compareAndSet(false, true);
+        return started.compareAndSet(false, true);
     }
 
     boolean isStarted() {
-        return answerStarted.get();
+        return started.get();
     }
 
-    /** The answer is going to be streamed. */
+    /** Marks the response as streamed. */
     void markStreaming() {
         streaming = true;
     }
@@ -66,11 +66,11 @@
     }
 
     /**
-     * Sends the head of the answer; the body follows as the connection takes it.
+     * Sends the head of the response; the body is written as the connection accepts it.
      *
-     * @param retryAfterTicks what the client is advised to wait; 0 for no advice
-     * @param last whether the connection ends with this answer
-     * @return true if the answer has no body, and is thereby complete
+     * @param retryAfterTicks the delay in the Retry-After header, in ticks; 0 for no header
+     * @param last whether the connection is closed after this response
+     * @return true if the response has no body and is therefore complete
      */
     boolean send(int status, MessageBody body, long retryAfterTicks, boolean last)
             throws HttpException, IOException {
@@ -89,22 +89,22 @@
         return entity == null;
     }
 
-    /** Ends an exchange whose connection is broken. */
+    /** Terminates the exchange after its connection has failed. */
     void terminate() {
         channel.terminateExchange();
     }
 
-    /** The answer breaks off, which counts as a failure. */
+    /** Counts the response as a failure because it is truncated. */
     void markFailed() {
         outcome = RequestOutcome.FAILURE;
     }
 
-    /** The client has disconnected before it had its answer. */
+    /** Clears the outcome because the client has disconnected before it had its whole response. */
     void clearOutcome() {
         outcome = null;
     }
 
-    /** Counts the outcome of a request that has ended. */
+    /** Reports the outcome of a finished request to the metrics. */
     void countOutcome(ProxyMetrics metrics, CategoryId category) {
         RequestOutcome counted = outcome;
         if (counted == null) {
@@ -118,34 +118,34 @@
         return responseBody.availableBytes();
     }
 
-    /** Writes what the connection takes; true, once, with the last byte. */
+    /** Writes as much as the connection accepts; true, once, when the last byte is written. */
     boolean writeTo(DataStreamChannel out) throws IOException {
         return responseBody.writeTo(out);
     }
 
-    /** What is yet to come of a streamed answer is discarded. */
+    /** Discards the unwritten rest of a streamed response. */
     void discardStream() {
         if (responseBody instanceof BodyPipe pipe) {
             pipe.discard();
         }
     }
 
-    /** Whether all but what is being written of a streamed answer has been written. */
-    boolean isLastChunkInWriting() {
-        return responseBody instanceof BodyPipe pipe && pipe.isLastChunkInWriting();
+    /** Whether the last chunk of a streamed response is being written. */
+    boolean isWritingLastChunk() {
+        return responseBody instanceof BodyPipe pipe && pipe.isWritingLastChunk();
     }
 
-    /** Whether the body of the answer is a pipe. */
+    /** Whether the response has begun and its body is a pipe. */
     boolean hasStreamedBody() {
         return streaming && responseBody instanceof BodyPipe;
     }
 
-    /** Whether a streamed answer stands still for too long. */
+    /** Whether a streamed response has made no progress for too long. */
     boolean isStalled(long nowNanos) {
         return responseBody instanceof BodyPipe pipe && pipe.isStalled(nowNanos);
     }
 
-    /** The outcome that a status counts as; null for an answer to no request of a client's. */
+    /** The outcome that a status is counted as; null for statuses that are not counted. */
     private static RequestOutcome outcomeOf(int status) {
         return switch (status) {
             case HttpStatus.SC_OK -> RequestOutcome.SUCCESS;
@@ -155,7 +155,10 @@
         };
     }
 
-    /** Without a formatter: rejections come by hundreds just when time is short. */
+    /**
+     * Formats ticks as seconds without a formatter, to save time: hundreds of rejections are sent
+     * when the proxy is overloaded.
+     */
     private static String formatSeconds(long ticks) {
         String fraction = Long.toString(Ticks.SECOND + ticks % Ticks.SECOND).substring(1);
         return Ticks.toSeconds(ticks) + "." + fraction;
--- a/src/main/java/org/apache/hc/core5/reactor/package-info.java
+++ b/src/main/java/org/apache/hc/core5/reactor/package-info.java
@@ -1,2 +1,2 @@
-/** The one class that has to stand in a package of HttpCore, see {@link Handover}. */
+/** The only class that has to be in a package of HttpCore; see {@link AcceptedChannelRegistrar}. */
 package org.apache.hc.core5.reactor;
--- a/src/test/java/cairnbridge/proxy/PipeTest.java
+++ b/src/test/java/cairnbridge/proxy/PipeTest.java
@@ -29,7 +29,7 @@
         @Override
         public int write(ByteBuffer source) {
             int count = source.remaining();
-            lastOut.add(pipe.isLastChunkInWriting());
+            lastOut.add(pipe.isWritingLastChunk());
             source.position(source.limit());
             return count;
         }
