--- a/src/main/java/cairnbridge/proxy/Acceptor.java
+++ b/src/main/java/cairnbridge/proxy/Acceptor.java
@@ -97,7 +97,8 @@
      * address. Opens a connection to find out, which is then handled like any other. Called on
      * another thread than {@link #run}, while that runs.
      *
-     * @throws IOException if the address does not accept a connection
+     * @throws IOException if no connection to the address can be opened, or the queue does not
+     *     become empty
      */
     boolean receivesNewConnections() throws IOException, InterruptedException {
         probeAccepted = false;
@@ -190,7 +191,7 @@
         }
     }
 
-    /** Waits until a connection may be accepted; null if there is none. */
+    /** Waits until accepting is allowed; returns the next connection, null if there is none. */
     private SocketChannel acceptNext() throws IOException {
         while (!stopped && !canAccept.getAsBoolean()) {
             LockSupport.parkNanos(BACKPRESSURE_PAUSE_NANOS);
--- a/src/main/java/cairnbridge/proxy/BodyPipe.java
+++ b/src/main/java/cairnbridge/proxy/BodyPipe.java
@@ -17,10 +17,13 @@
  * connection, because connections use locks as well.
  */
 public final class BodyPipe implements MessageBody {
-    /** The most that one pipe buffers. */
+    /** The number of bytes that one pipe buffers at most. */
     static final int WINDOW_BYTES = 64 * 1024;
 
-    /** The same while all pipes together buffer more than {@link #MAX_TOTAL_BYTES}. */
+    /**
+     * The number of bytes that one pipe buffers at most while all pipes of the proxy together
+     * buffer more than {@link #MAX_TOTAL_BYTES}.
+     */
     static final int NARROW_WINDOW_BYTES = 8 * 1024;
 
     static final int MAX_TOTAL_BYTES = 6 << 20;
@@ -289,7 +292,7 @@
         return count > 0;
     }
 
-    /** True, once, if the producer has finished and all bytes are written. */
+    /** Closes the pipe; true, once, if the producer has finished and all bytes are written. */
     private synchronized boolean closeIfDrained() {
         boolean last = producerFinished && bufferedBytes == 0 && !closed && !discarded;
         closed |= last;
--- a/src/main/java/cairnbridge/proxy/BufferedBody.java
+++ b/src/main/java/cairnbridge/proxy/BufferedBody.java
@@ -22,8 +22,8 @@
      */
     public BufferedBody(EntityDetails entity) {
         long announcedBytes = entity == null ? 0 : entity.getContentLength();
-        // Guards against memory allocated for hundreds of clients that announce a body and send
-        // none.
+        // Guards against allocating memory for hundreds of clients that announce but do not send a
+        // body.
         long initialBytes = Math.max(0, Math.min(INITIAL_BYTES, announcedBytes));
         buffer = new ByteArrayOutputStream((int) initialBytes);
     }
--- a/src/main/java/cairnbridge/proxy/ClientConnection.java
+++ b/src/main/java/cairnbridge/proxy/ClientConnection.java
@@ -22,7 +22,10 @@
     /** A connection that is idle for this long is assumed to have no request in transit. */
     private static final long MIN_IDLE_MILLIS = 150;
 
-    /** The same for a connection on which no request has arrived yet. */
+    /**
+     * A connection without any request so far that is idle for this long is assumed to have no
+     * request in transit.
+     */
     private static final long FIRST_REQUEST_WAIT_MILLIS = 1000;
 
     /**
@@ -39,8 +42,8 @@
     private final ClientConnections connections;
 
     /**
-     * When the request that is being read began, plus the pauses in reading. Set by the reactor and
-     * the scheduler.
+     * When the request that is being read began, plus the pauses in reading. Written on the
+     * reactor's and the scheduler's threads.
      */
     private volatile long readingSinceNanos = NOT_READING;
 
--- a/src/main/java/cairnbridge/proxy/ClientConnections.java
+++ b/src/main/java/cairnbridge/proxy/ClientConnections.java
@@ -23,7 +23,7 @@
     private final ListenerState listenerState;
     private final Set<ClientConnection> connections = ConcurrentHashMap.newKeySet();
 
-    /** Sessions that wait for their client to close, oldest first. Reactor's thread only. */
+    /** Sessions in a lingering close, the longest waiting first. Reactor's thread only. */
     private final Deque<LingeringSession> lingeringSessions = new ArrayDeque<>();
 
     private volatile long lastCheckNanos = System.nanoTime();
--- a/src/main/java/cairnbridge/proxy/ClientExchange.java
+++ b/src/main/java/cairnbridge/proxy/ClientExchange.java
@@ -74,7 +74,7 @@
     volatile BodyPipe requestPipe;
 
     private volatile boolean requestComplete;
-    private volatile boolean announced;
+    private volatile boolean arrivalReported;
     private volatile boolean countedAsAccepted;
     private volatile boolean clientDisconnected;
 
@@ -167,8 +167,8 @@
 
     /**
      * Whether the client may have received its whole response. Guards against rejecting the
-     * client's next request as pipelined if it arrives before this thread has recorded that the
-     * response is written.
+     * client's next request as pipelined if it arrives before the end of the response has been
+     * recorded.
      */
     public boolean isAnswered() {
         return finished
@@ -191,7 +191,7 @@
         return body.receivedBytes();
     }
 
-    /** The received bytes of a streamed body that can be read further; otherwise less than 0. */
+    /** The bytes received of a streamed body if more can be read now; otherwise less than 0. */
     public long streamedBytesIfReadable() {
         boolean readable = body.isStreamed() && !requestComplete && !body.isBackpressured();
         return readable ? body.receivedBytes() : -1;
@@ -293,19 +293,19 @@
         // send its body, so the TTL runs from the last byte.
         long deadlineTicks = deadline();
         if (!context.filter().intercept(this, deadlineTicks)) {
-            announce(deadlineTicks);
+            reportArrival(deadlineTicks);
             countAccepted();
         }
     }
 
     /**
-     * Announces a request whose body is too long to be buffered. Its TTL runs from the last byte of
-     * the body; until then the deadline includes the time to receive the rest.
+     * Reports the arrival of a request whose body is too long to be buffered. Its TTL runs from the
+     * last byte of the body; until then the deadline includes the time to receive the rest.
      */
     private void startStreaming(ByteBuffer source) {
         body.startStreaming(context.pipedBytes(), source);
         requestPipe = body.pipe();
-        announce(
+        reportArrival(
                 context.streamingDeadline(
                         context.clock().now(), request.ttlTicks(), body.remainingBytes()));
     }
@@ -314,8 +314,8 @@
         return context.deadline(context.clock().now(), request.ttlTicks());
     }
 
-    private void announce(long deadlineTicks) {
-        announced = true;
+    private void reportArrival(long deadlineTicks) {
+        arrivalReported = true;
         events.requestArrived(this, deadlineTicks);
     }
 
@@ -427,7 +427,7 @@
                     "client: streamed response aborted by the client: {0}",
                     String.valueOf(cause));
         }
-        if (announced && (unanswered || isStreamingResponse())) {
+        if (arrivalReported && (unanswered || isStreamingResponse())) {
             response.clearOutcome();
             events.clientDisconnected(this);
         }
@@ -440,13 +440,13 @@
         return response.isStreaming() && !finished;
     }
 
-    /** Marks the exchange as finished; counts the outcome, once, if the request was announced. */
+    /** Marks the exchange as finished; counts its outcome once, if its arrival was reported. */
     private void finish() {
         if (finished) {
             return;
         }
         finished = true;
-        if (announced) {
+        if (arrivalReported) {
             countAccepted();
             response.countOutcome(context.metrics(), request.category());
         }
--- a/src/main/java/cairnbridge/proxy/ClientTimeouts.java
+++ b/src/main/java/cairnbridge/proxy/ClientTimeouts.java
@@ -11,14 +11,15 @@
     private static final Logger LOG = Logger.getLogger(ClientTimeouts.class.getName());
 
     /**
-     * For one request to be sent, without the allowance for its body, and for the first to begin.
+     * The time to send one request, without the allowance for its body; also the time until the
+     * first request on a connection begins.
      */
     private static final long REQUEST_READ_MILLIS = 2200;
 
-    /** For the next request to begin. */
+    /** The time until the next request on a connection begins. */
     private static final long KEEP_ALIVE_MILLIS = 5000;
 
-    /** For a client to close its side once the proxy has closed its own. */
+    /** The time for a client to close its side once the proxy has closed its own. */
     private static final long LINGER_MILLIS = 2000;
 
     private ClientTimeouts() {}
@@ -37,7 +38,7 @@
         }
         ClientExchange latest = client.latestRequest();
         if (latest != null && latest.isStalled(nowNanos)) {
-            LOG.info("streamed body stalled, closing the connection of request " + latest.traceId);
+            LOG.info("streamed body of request " + latest.traceId + " stalled, closing connection");
             return true;
         }
         if (client.isReadingRequest()) {
--- a/src/main/java/cairnbridge/proxy/ConnectionDiverter.java
+++ b/src/main/java/cairnbridge/proxy/ConnectionDiverter.java
@@ -13,7 +13,7 @@
 final class ConnectionDiverter {
     private static final Logger LOG = Logger.getLogger(ConnectionDiverter.class.getName());
 
-    /** The wait for connections whose handshake with this process's listener has begun. */
+    /** The wait for connections whose TCP handshake with this process's listener has begun. */
     private static final long SETTLE_MILLIS = 50;
 
     private ConnectionDiverter() {}
--- a/src/main/java/cairnbridge/proxy/ConnectionReactor.java
+++ b/src/main/java/cairnbridge/proxy/ConnectionReactor.java
@@ -116,8 +116,7 @@
     }
 
     /**
-     * Opens another listener, whose clients are served in the same way; the caller runs it on a
-     * separate thread.
+     * Opens a listener whose clients this reactor serves; the caller runs it on a separate thread.
      *
      * @throws IOException if the address cannot be listened on
      */
@@ -173,8 +172,8 @@
     }
 
     /**
-     * Opens a connection to a server, without a limit on the time of silence. Counts the connection
-     * in the descriptor budget without checking the limit.
+     * Opens a connection to a server without a socket timeout. Counts the connection in the
+     * descriptor budget without checking the limit.
      *
      * @param first the exchange that is started once the connection is established
      */
@@ -187,7 +186,7 @@
      * Opens a connection to a server. Counts the connection in the descriptor budget without
      * checking the limit.
      *
-     * @param socketTimeoutTicks the time without data after which the connection fails; 0 for none
+     * @param socketTimeoutTicks the idle time after which the connection fails; 0 for no timeout
      * @param first the exchange that is started once the connection is established
      */
     UpstreamConnection connect(
--- a/src/main/java/cairnbridge/proxy/DescriptorBudget.java
+++ b/src/main/java/cairnbridge/proxy/DescriptorBudget.java
@@ -9,13 +9,13 @@
  * shared with other processes of the same proxy. Thread-safe.
  */
 public final class DescriptorBudget {
-    /** Descriptors used by other things than connections: files, selectors, listener, watch. */
+    /** Descriptors needed besides connections: for files, selectors, listener, discovery watch. */
     private static final int PROCESS_DESCRIPTORS = 24;
 
     /**
      * The share of the budget above which each client connection is closed with its next response.
-     * Guards against idle client connections that keep other clients out: clients get a third of
-     * all descriptors for their requests.
+     * Guards against idle client connections that keep other clients out: client connections get a
+     * third of all descriptors.
      */
     private static final double KEEP_ALIVE_SHARE = 0.35;
 
@@ -26,12 +26,12 @@
     private static final double FULL_SHARE = 0.75;
 
     /**
-     * The share that clients cannot use, so that a connection to a server can be opened however
-     * many clients connect.
+     * The share of the budget that clients cannot use, so that a connection to a server can be
+     * opened however many clients connect.
      */
     private static final double UPSTREAM_RESERVED_SHARE = 0.125;
 
-    /** The share of connections that only wait for their client to close. */
+    /** The share of the budget for connections that only wait for their client to close. */
     private static final double LINGERING_SHARE = 0.0625;
 
     /**
@@ -101,7 +101,7 @@
         return openDescriptors() >= fullLimit || isExhausted();
     }
 
-    /** The open descriptors from which each client connection is closed with its next response. */
+    /** The number of open descriptors from which client connections close after a response. */
     int keepAliveLimit() {
         return keepAliveLimit;
     }
--- a/src/main/java/cairnbridge/proxy/GracefulShutdown.java
+++ b/src/main/java/cairnbridge/proxy/GracefulShutdown.java
@@ -47,9 +47,8 @@
                     components.config().name(), Integer.toString(coordinator.activeRequestCount())
                 });
         long longestTtlMillis = longestTtlMillis();
-        // Guards against a configured TTL that is longer than the platform waits before it kills
-        // the
-        // process.
+        // Guards against a configured TTL that is longer than the time for which the platform waits
+        // before it kills the process.
         long servingMillis = TimeBudget.shutdownServingMillis(longestTtlMillis);
         long totalMillis = TimeBudget.shutdownEndMillis(longestTtlMillis);
         long deadlineNanos = System.nanoTime() + totalMillis * NANOS_PER_MILLI;
--- a/src/main/java/cairnbridge/proxy/ListenerFilter.java
+++ b/src/main/java/cairnbridge/proxy/ListenerFilter.java
@@ -59,7 +59,7 @@
 
     /**
      * Gives all new connections to one socket of a group. If the group has no socket at this index,
-     * for instance because it has been closed, the system distributes connections as before.
+     * for instance because it has been closed, the system selects a socket as without this call.
      *
      * @param descriptor the file descriptor of any socket of the group
      * @param index the position of the chosen socket in the group, from 0
--- a/src/main/java/cairnbridge/proxy/ListenerState.java
+++ b/src/main/java/cairnbridge/proxy/ListenerState.java
@@ -9,7 +9,7 @@
  * idle connections are all derived from this state. Thread-safe.
  */
 public final class ListenerState {
-    /** Whether the proxy accepts requests. */
+    /** The phases of a proxy, from its start to its shutdown. */
     public enum State {
         /** Requests are not accepted yet; connections may be open already. */
         STARTING,
@@ -76,7 +76,7 @@
         return state;
     }
 
-    /** Ends the start: the proxy serves, or is in standby if that was requested meanwhile. */
+    /** Completes the start: the proxy serves, or is in standby if that has been requested. */
     public synchronized void startServing() {
         if (state == State.STARTING) {
             state = standbyRequested ? State.STANDBY : State.SERVING;
@@ -114,7 +114,7 @@
      * Sets whether so many descriptors are open that each client connection is closed with its next
      * response.
      */
-    public void setKeepAliveSuspended(boolean crowded) {
-        this.keepAliveSuspended = crowded;
+    public void setKeepAliveSuspended(boolean suspended) {
+        this.keepAliveSuspended = suspended;
     }
 }
--- a/src/main/java/cairnbridge/proxy/RequestFilter.java
+++ b/src/main/java/cairnbridge/proxy/RequestFilter.java
@@ -1,7 +1,7 @@
 package cairnbridge.proxy;
 
 /**
- * Is called with each complete request before the coordinator is notified of it, and may answer it
+ * Intercepts complete requests before the coordinator is notified of them, and may answer them
  * instead. Called on the reactor's thread; must not block.
  */
 public interface RequestFilter {
--- a/src/main/java/cairnbridge/proxy/RequestHandler.java
+++ b/src/main/java/cairnbridge/proxy/RequestHandler.java
@@ -2,7 +2,7 @@
 
 import org.apache.hc.core5.http.nio.AsyncServerExchangeHandler;
 
-/** One request of a client and its response, as the connection handling sees them. */
+/** One request of a client and its response, as far as the client connection uses them. */
 interface RequestHandler extends AsyncServerExchangeHandler {
     /** Whether the last byte of the request has been read. */
     boolean isRequestComplete();
--- a/src/main/java/cairnbridge/proxy/RequestHandlers.java
+++ b/src/main/java/cairnbridge/proxy/RequestHandlers.java
@@ -20,7 +20,7 @@
     /** Whether a request was pipelined. Reactor's thread only. */
     private boolean pipelined;
 
-    /** Creates an instance for a connection without requests; a request may abort the session. */
+    /** Creates an instance for a new connection; a request may abort its session. */
     RequestHandlers(IOSession session, RequestHandlerFactory factory) {
         this.session = session;
         this.factory = factory;
