--- a/src/main/java/cairnbridge/proxy/ClientTimeouts.java
+++ b/src/main/java/cairnbridge/proxy/ClientTimeouts.java
@@ -4,27 +4,30 @@
 import java.util.logging.Logger;
 
 /**
- * For how long the proxy waits for a client: to send a request, to take up its answer, to send the
- * next request and to close its connection. Called on the scheduler's thread and on the reactor's.
+ * The time limits of client connections: to send a request, to read the response, to send the next
+ * request and to close the connection. Called on the scheduler's thread and on the reactor's.
  */
 final class ClientTimeouts {
     private static final Logger LOG = Logger.getLogger(ClientTimeouts.class.getName());
 
-    /** To send one request, but for a long body, or for the first one to begin. */
+    /**
+     * The time to send one request, without the allowance for its body; also the time until the
+     * first request on a connection begins.
+     */
     private static final long REQUEST_READ_MILLIS = 2200;
 
-    /** For the next request to begin. */
+    /** The time until the next request on a connection begins. */
     private static final long KEEP_ALIVE_MILLIS = 5000;
 
-    /** For a client to close its side once the proxy has closed its own. */
+    /** The time for a client to close its side once the proxy has closed its own. */
     private static final long LINGER_MILLIS = 2000;
 
     private ClientTimeouts() {}
 
     /**
-     * Whether a connection is to be closed. Guards against clients that connect and send nothing,
-     * or never come to the end of what they send. While the proxy takes nothing of a body the
-     * client's time does not run.
+     * Whether a connection has exceeded a time limit and is to be closed. Guards against clients
+     * that connect and send nothing, or never complete a request. The time in which the proxy does
+     * not read a body, because of backpressure, does not count.
      *
      * @param nowNanos the time on the clock of {@link System#nanoTime}
      * @param lastCheckNanos the time of the last check of all connections on the same clock
@@ -35,7 +38,7 @@
         }
         ClientExchange latest = client.latestRequest();
         if (latest != null && latest.isStalled(nowNanos)) {
-            LOG.info("what passes through stands still: " + latest.traceId + " is cut");
+            LOG.info("streamed body of request " + latest.traceId + " stalled, closing connection");
             return true;
         }
         if (client.isReadingRequest()) {
