--- a/src/main/java/cairnbridge/decision/AdmissionControl.java
+++ b/src/main/java/cairnbridge/decision/AdmissionControl.java
@@ -4,14 +4,16 @@
 import cairnbridge.time.Ticks;
 
 /**
- * Sheds load while requests take long at the caches: first what is beyond a tenant's quota, then
- * all.
+ * Sheds load while caches respond slowly: requests beyond their tenant's quota are rejected first,
+ * then requests of any tenant.
  */
 final class AdmissionControl {
-    private static final double MAX_RATIO = 8;
-    private static final double SAMPLES = 24;
+    private static final double MAX_LATENCY_RATIO = 8;
+    private static final double LATENCY_SAMPLES = 24;
 
-    /** A request cancelled with less than this left has run out of time. */
+    /**
+     * An attempt cancelled with less than this time left before the deadline counts as timed out.
+     */
     private static final long NEARLY_EXPIRED = Ticks.SECOND / 50;
 
     private static final double MIN_CACHES_PER_PROXY = 0.5;
@@ -21,17 +23,17 @@
     private final InFlightLimit limit = new InFlightLimit(3, 3, 3);
     private final InFlightLimit excessLimit = new InFlightLimit(2.2, 1.1, 0);
 
-    /** How many times its lowest usual latency an attempt takes, smoothed. */
+    /** Smoothed ratio of an attempt's latency to the lowest usual latency of its category. */
     private double latencyRatio;
 
-    private long measuredAt;
+    private long lastSampleAt;
 
     AdmissionControl(RouterContext context) {
         this.context = context;
         quotas = new TenantQuotas(context);
     }
 
-    /** Admits a request, or has it rejected at once. */
+    /** Admits a request, or rejects it immediately with retry advice. */
     void requestArrived(Request request) {
         boolean isExcess = quotas.isExceeded(request.tenant);
         if (isExcess) {
@@ -41,12 +43,15 @@
         if (hasCapacity(level)) {
             context.loop.post(() -> context.requests.admitted(request));
         } else {
-            long advice = RouterContext.LONGEST_RETRY_AFTER;
-            context.loop.post(() -> context.dispatcher.answer(request, advice));
+            long retryAfter = RouterContext.LONGEST_RETRY_AFTER;
+            context.loop.post(() -> context.dispatcher.answer(request, retryAfter));
         }
     }
 
-    /** Where the capacity is under one request a proxy, its fraction is a chance. */
+    /**
+     * Whether one more request fits under the limit. A limit below 1 is the probability of
+     * admitting a request while none is in flight.
+     */
     private boolean hasCapacity(double level) {
         return context.ring.inFlight() < Math.max(1, level)
                 && (level >= 1 || level > context.random.nextDouble());
@@ -54,37 +59,41 @@
 
     void attemptEnded(Request request, ServerNode node, Event.AttemptEnded ended) {
         double reported = context.loadReports.latency(ended.loadReport());
-        if (reported < 0 && !speaksOfLatency(ended.outcome())) {
+        if (reported < 0 && !reflectsLatency(ended.outcome())) {
             return;
         }
         double ratio =
-                isLost(request, ended.outcome())
-                        ? MAX_RATIO
-                        : Math.min(MAX_RATIO, ratio(request, node, ended, reported));
+                ranOutOfTime(request, ended.outcome())
+                        ? MAX_LATENCY_RATIO
+                        : Math.min(
+                                MAX_LATENCY_RATIO, latencyRatioOf(request, node, ended, reported));
         long now = context.now();
         latencyRatio +=
-                (ratio - latencyRatio) * MovingAverage.weightAfter(now - measuredAt, SAMPLES);
-        measuredAt = now;
+                (ratio - latencyRatio)
+                        * MovingAverage.weightAfter(now - lastSampleAt, LATENCY_SAMPLES);
+        lastSampleAt = now;
     }
 
-    private static boolean speaksOfLatency(AttemptOutcome outcome) {
+    private static boolean reflectsLatency(AttemptOutcome outcome) {
         return outcome != AttemptOutcome.NOT_SENT
                 && outcome != AttemptOutcome.CACHE_MISS
                 && outcome != AttemptOutcome.OVERLOADED;
     }
 
-    private boolean isLost(Request request, AttemptOutcome outcome) {
+    private boolean ranOutOfTime(Request request, AttemptOutcome outcome) {
         boolean isNearlyExpired = request.deadline - context.now() <= NEARLY_EXPIRED;
         return outcome == AttemptOutcome.TIMED_OUT
                 || (outcome == AttemptOutcome.CANCELLED && isNearlyExpired);
     }
 
     /**
-     * Guards against a day that begins overloaded, its lowest latency high: the objective counts
-     * too; and against overload seen in what is only cold, or in the proxy's own wait where caches
-     * are quick.
+     * Returns the latency of an attempt relative to the usual latency. Guards against three
+     * distortions: a proxy that starts during an overload would take a high latency for usual, so
+     * the latency objective bounds the usual latency from above; a node in slow start would look
+     * overloaded, so its duration is scaled by its warmth; and the proxy's own queueing delay would
+     * dominate where caches are fast, so the usual latency is bounded from below.
      */
-    private double ratio(
+    private double latencyRatioOf(
             Request request, ServerNode node, Event.AttemptEnded ended, double reported) {
         RequestPolicy policy = request.policy;
         double base = policy.latencyObjective() / 6.0;
@@ -95,7 +104,10 @@
         return context.slowStart.warmth(node) * ended.duration() / usual;
     }
 
-    /** Moves both limits. The least is shared out, as many proxies each let it through. */
+    /**
+     * Updates both limits. Their minimum shrinks as the number of proxies grows, because every
+     * proxy may send its minimum at once.
+     */
     void housekeeping() {
         int inFlight = context.ring.inFlight();
         double cachesPerProxy = context.ring.cacheCount() / context.proxyCount();
--- a/src/main/java/cairnbridge/decision/Attempt.java
+++ b/src/main/java/cairnbridge/decision/Attempt.java
@@ -1,11 +1,14 @@
 package cairnbridge.decision;
 
-/** One attempt of a request at a server; until its outcome is known it may have run. */
+/**
+ * One attempt to send a request to a server. Until its outcome is known, the server may have
+ * executed the request.
+ */
 final class Attempt {
     final ServerNode node;
     final long sentAt;
 
-    /** Whether it goes to the origin. */
+    /** Whether the attempt goes to the origin rather than to a cache. */
     final boolean isFetch;
 
     private boolean isOpen = true;
@@ -25,7 +28,7 @@
         return mayHaveRun;
     }
 
-    void ended(Event.AttemptOutcome outcome) {
+    void markEnded(Event.AttemptOutcome outcome) {
         isOpen = false;
         mayHaveRun = !outcome.provesNotExecuted;
     }
--- a/src/main/java/cairnbridge/decision/CoalescedFetch.java
+++ b/src/main/java/cairnbridge/decision/CoalescedFetch.java
@@ -3,7 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One fetch of a key from the origin: the request that does it, and those that wait for it. */
+/**
+ * One fetch of a key from the origin, shared by the request that performs it and the requests that
+ * wait for its result.
+ */
 final class CoalescedFetch {
     private final Request leader;
     private final List<Request> followers = new ArrayList<>(2);
--- a/src/main/java/cairnbridge/decision/Dispatcher.java
+++ b/src/main/java/cairnbridge/decision/Dispatcher.java
@@ -4,8 +4,17 @@
 import cairnbridge.decision.Settings.Effect;
 
 /**
- * Holds the four rules: every attempt and every final answer passes here, and nowhere else are they
- * made.
+ * Enforces the four safety rules. Every attempt and every final answer is issued by this class and
+ * nowhere else.
+ *
+ * <ol>
+ *   <li>A request gets one final answer, and no attempt is sent after it or too late to be
+ *       answered.
+ *   <li>A request that may have run is repeated only where its effect, deduplication scope and
+ *       deduplication window allow that.
+ *   <li>A draining node gets no new attempts.
+ *   <li>A node in slow start gets no more attempts than its budget allows.
+ * </ol>
  */
 final class Dispatcher {
     private final RouterContext context;
@@ -21,7 +30,9 @@
         clockGranularity = context.settings.proxy().clockGranularity();
     }
 
-    /** Sends an attempt to a node that has accepted the request, if the rules still allow it. */
+    /**
+     * Sends an attempt to a node that has accepted the request, unless one of the rules forbids it.
+     */
     void send(Request request, ServerNode node) {
         boolean isFetch = context.origin.contains(node);
         if (!mayAttempt(request) || !mayAttemptAt(request, node)) {
@@ -44,7 +55,7 @@
         context.loop.post(() -> context.requests.cannotContinue(request, 0));
     }
 
-    /** Rules 1 and 2, as far as they do not depend on the node. */
+    /** Whether rules 1 and 2 allow another attempt at any node. */
     boolean mayAttempt(Request request) {
         boolean isPending = !request.isFinished() && !request.isStreaming();
         boolean hasTime = request.deadline - context.now() > clockGranularity;
@@ -56,8 +67,8 @@
     }
 
     /**
-     * Rule 2 for deduplicated requests (scope and window), rule 3 (draining nodes), rule 4 (slow
-     * start).
+     * Whether the rules that depend on the node allow an attempt there: rule 2 for deduplicated
+     * requests (scope and window), rule 3 (draining nodes) and rule 4 (slow start).
      */
     private boolean mayAttemptAt(Request request, ServerNode node) {
         return context.now() < request.latestStart(clockGranularity)
@@ -66,7 +77,10 @@
                 && isWithinScope(request, node);
     }
 
-    /** Whether a deduplicated request would be known at a node as one that may have run. */
+    /**
+     * Whether the node shares its idempotency keys with every node that may have executed this
+     * deduplicated request.
+     */
     private static boolean isWithinScope(Request request, ServerNode node) {
         if (request.policy.effect() != Effect.DEDUPLICATED) {
             return true;
@@ -89,8 +103,8 @@
     }
 
     /**
-     * Gives the final answer, unless there is one: a rejection with a promise of no effect where a
-     * repeat is harmless, else a failure without a promise.
+     * Sends the final answer unless one was sent before: a retryable rejection where a repeat is
+     * harmless, otherwise a permanent failure that makes no statement about effects.
      */
     void answer(Request request, long wantedRetryAfter) {
         if (request.isFinished()) {
@@ -122,8 +136,8 @@
     }
 
     /**
-     * Cancels what is still open of a request that needs no answer any more. An at-most-once
-     * request may still be carried out: cancelling it would help nobody.
+     * Cancels the open attempts of a request that needs no answer any more. Only attempts of
+     * idempotent requests are cancelled.
      */
     void cancelOpenAttempts(Request request) {
         boolean mayCancel = settings.mayCancel() && request.policy.effect() == Effect.IDEMPOTENT;
--- a/src/main/java/cairnbridge/decision/EndpointSubscription.java
+++ b/src/main/java/cairnbridge/decision/EndpointSubscription.java
@@ -3,8 +3,9 @@
 import cairnbridge.time.Ticks;
 
 /**
- * Asks discovery for the endpoint list again after a failure. Guards against a discovery service of
- * fixed capacity that all proxies ask at once: the waits grow at random, and one runs at a time.
+ * Renews the subscription to the endpoint list after a failure. Guards against overloading
+ * discovery, which has a fixed capacity, with simultaneous retries from all proxies: the delay is
+ * random, its bound doubles with each failure, and only one retry is scheduled at a time.
  */
 final class EndpointSubscription {
     private static final int MAX_DOUBLINGS = 2;
@@ -28,11 +29,11 @@
         }
         long bound = Ticks.SECOND << Math.min(failures++, MAX_DOUBLINGS);
         long wait = RouterContext.HOUSEKEEPING_INTERVAL + context.random.nextLong(bound);
-        long longest =
+        long maxWait =
                 Math.max(
                         RouterContext.HOUSEKEEPING_INTERVAL,
                         TimeBudget.maxListRetryWait(context.settings.discovery().retryWithin()));
-        nextAttemptAt = now + Math.min(wait, longest);
+        nextAttemptAt = now + Math.min(wait, maxWait);
         context.loop.schedule(nextAttemptAt - now, () -> context.host.subscribeToEndpoints(true));
     }
 }
--- a/src/main/java/cairnbridge/decision/Event.java
+++ b/src/main/java/cairnbridge/decision/Event.java
@@ -12,14 +12,17 @@
 import cairnbridge.decision.Ids.ZoneId;
 import java.util.List;
 
-/** What a router is told. Times and durations are ticks; a load report is null where none came. */
+/**
+ * An event that a router handles. Times and durations are ticks; a load report is null if the
+ * server sent none.
+ */
 public sealed interface Event {
     /**
      * A request has arrived.
      *
-     * @param key null where the request names none
-     * @param work 0 where it is not told
-     * @param size below 0 where it is not told
+     * @param key null if the request names no key
+     * @param work 0 if unknown
+     * @param size negative if unknown
      */
     record RequestArrived(
             RequestId request,
@@ -36,7 +39,7 @@
     /**
      * An attempt has ended.
      *
-     * @param cacheStatus 1 for a hit, 2 or 3 for a miss, 0 where it is not told
+     * @param cacheStatus 1 for a hit, 2 or 3 for a miss, 0 if unknown
      * @param isRequestOver whether the request needs no answer any more
      */
     record AttemptEnded(
@@ -50,72 +53,87 @@
             double[] loadReport)
             implements Event {}
 
-    /** The answer of an attempt has begun to pass through to the client. */
+    /** The response of an attempt has begun to stream to the client. */
     record StreamingStarted(RequestId request, int attempt, NodeId node, long elapsed)
             implements Event {}
 
-    /** The client went away; its request needs no answer any more. */
+    /** The client has disconnected; its request needs no answer any more. */
     record RequestCancelled(RequestId request) implements Event {}
 
-    /** A timer of the host has run out. */
+    /** A timer started by {@link Host#startTimer} has expired. */
     record TimerFired(TimerId timer) implements Event {}
 
-    /** A health check has ended. */
+    /** A health check started by {@link Host#checkHealth} has ended. */
     record HealthCheckEnded(NodeId node, AttemptOutcome outcome, long duration, double[] loadReport)
             implements Event {}
 
-    /** Another proxy has sent a message. */
+    /** A message from another proxy has arrived. */
     record PeerMessageReceived(PeerId from, byte[] body) implements Event {}
 
-    /** Discovery has sent the endpoint list or a part of it, or could not be reached. */
+    /** Discovery has sent the endpoint list or changes to it, or could not be reached. */
     record EndpointListReceived(ListScope scope, long version, List<Endpoint> endpoints)
             implements Event {}
 
-    /** Operators take a node into maintenance or out of it, whatever the list says of it. */
+    /**
+     * Operators have put a node into maintenance or ended its maintenance, independently of its
+     * state in the endpoint list.
+     */
     record MaintenanceChanged(NodeId node, boolean inMaintenance) implements Event {}
 
-    /** So many proxies are live in the fleet's view; counts in place of the configured number. */
+    /**
+     * The number of live proxies in the fleet's membership view has changed. It replaces the
+     * configured number.
+     */
     record LiveProxyCountChanged(int count) implements Event {}
 
     /**
-     * Most proxies of this one's zone cannot reach the node; a hint, which may only make it
-     * distrusted sooner.
+     * Most proxies of this proxy's zone cannot reach the node. This is a hint: it may only lower
+     * the share of requests that the node gets.
      */
     record NodeSuspected(NodeId node) implements Event {}
 
-    /** Where requests may go from now on, by a plan over zones. */
+    /** A new zone plan determines where requests may go from now on. */
     record PlacementChanged(Placement placement) implements Event {}
 
-    /** The proxy is to end: every request is answered by this time, whatever its own deadline. */
+    /**
+     * The proxy shuts down: every request is answered by this time, even if its own deadline is
+     * later.
+     */
     record ShutdownScheduled(long deadline) implements Event {}
 
-    /** How much of the endpoint list an event holds. The order is part of the adapter's wire. */
+    /**
+     * The scope of an endpoint list event. The adapter's protocol sends the ordinal, so the order
+     * of the constants must not change.
+     */
     enum ListScope {
-        /** The whole list as it was known before. */
+        /** The full list as it was last known, before discovery has sent a current one. */
         CACHED,
-        /** The whole list. */
+        /** The full current list. */
         FULL,
-        /** Changed endpoints alone. */
+        /** Only the endpoints that have changed. */
         CHANGES,
-        /** None: discovery could not be reached. */
+        /** No list: discovery could not be reached. */
         FAILED
     }
 
-    /** The state of a server in the endpoint list. The order is part of the adapter's wire. */
+    /**
+     * The state of a server in the endpoint list. The adapter's protocol sends the ordinal, so the
+     * order of the constants must not change.
+     */
     enum NodeState {
-        /** Not in use any more. */
+        /** Removed from service. */
         GONE,
-        /** Takes requests. */
+        /** Accepts requests. */
         READY,
-        /** Takes nothing new. */
+        /** Accepts no new requests, but completes those in flight. */
         DRAINING
     }
 
     /**
      * A server in the endpoint list.
      *
-     * @param size its nominal capacity; 1 where it is not above 0
-     * @param startedAt the clock time of the last start, 0 where it was long ago
+     * @param size its nominal capacity; a value that is not above 0 counts as 1
+     * @param startedAt the clock time of its last start, 0 if that was long ago
      */
     record Endpoint(
             NodeId node,
@@ -126,35 +144,35 @@
             CellId cell,
             ZoneId zone) {}
 
-    /** The ways an attempt can end. */
+    /** The outcome of an attempt. */
     enum AttemptOutcome {
-        /** Answered. */
+        /** The server answered. */
         SUCCESS(false),
-        /** Answered with an error. */
+        /** The server answered with an error. */
         ERROR(false),
-        /** Rejected by the server, which proves that it has not run the request. */
+        /** The server rejected the request, which proves that it has not executed it. */
         OVERLOADED(true),
-        /** No answer in time. */
+        /** No answer arrived within the timeout. */
         TIMED_OUT(false),
-        /** No connection came up. */
+        /** No connection could be established. */
         CONNECT_FAILED(true),
-        /** The connection broke after the request was handed to it. */
+        /** The connection broke after the request was sent on it. */
         CONNECTION_LOST(false),
-        /** Cancelled by the proxy. */
+        /** The proxy cancelled the attempt. */
         CANCELLED(false),
-        /** Not a byte has left. */
+        /** Nothing of the request was sent. */
         NOT_SENT(true),
-        /** The cache does not have the key. */
+        /** The cache does not hold the key. */
         CACHE_MISS(true);
 
-        /** Whether the server has certainly not run the request. */
+        /** Whether the outcome proves that the server has not executed the request. */
         public final boolean provesNotExecuted;
 
         AttemptOutcome(boolean provesNotExecuted) {
             this.provesNotExecuted = provesNotExecuted;
         }
 
-        /** Whether no server had any work by it. */
+        /** Whether the attempt caused no work at any server. */
         boolean reachedNoNode() {
             return this == CONNECT_FAILED || this == NOT_SENT;
         }
--- a/src/main/java/cairnbridge/decision/HashRing.java
+++ b/src/main/java/cairnbridge/decision/HashRing.java
@@ -7,23 +7,23 @@
 import java.util.BitSet;
 import java.util.List;
 
-/** The virtual nodes of all ready caches, and the load over them. */
+/** The consistent-hashing ring: the virtual nodes of all ready caches, and the load on them. */
 final class HashRing {
-    /** The virtual nodes of a cache of nominal size. */
+    /** The number of virtual nodes of a cache of size 1. */
     private static final int POINTS_PER_NODE = 256;
 
-    private static final double SMOOTHING = 0.2;
+    private static final double IN_FLIGHT_SMOOTHING = 0.2;
     private static final long SPEED_UPDATE_INTERVAL = Ticks.SECOND / 2;
 
     private final RouterContext context;
     private final RingPoints points = new RingPoints();
 
-    /** By slot; a slot that fell free is used again. */
+    /** The owner of each slot; null for a free slot, which is reused. */
     private final List<ServerNode> owners = new ArrayList<>();
 
     /**
-     * The caches in slow start or lately unhealthy: only they change from one housekeeping to the
-     * next.
+     * The caches that are in slow start or not fully healthy. Housekeeping visits only these, as no
+     * other node's share changes between two runs.
      */
     private final List<ServerNode> nodesInTransition = new ArrayList<>();
 
@@ -31,7 +31,7 @@
     private int inFlight;
     private double smoothedInFlight;
 
-    /** The weight of all caches, and what of it is open now. */
+    /** The total weight of all caches, and the part of it that is currently open. */
     private double totalWeight;
 
     private double openWeight;
@@ -57,7 +57,7 @@
         return cacheCount;
     }
 
-    /** This proxy's attempts in flight to caches. */
+    /** The number of this proxy's attempts in flight to caches. */
     int inFlight() {
         return inFlight;
     }
@@ -74,12 +74,15 @@
         nodesInTransition.add(node);
     }
 
-    /** The attempts in flight for a cache of nominal weight. */
+    /** The average number of attempts in flight per unit of open weight. */
     double averageLoad() {
         return openWeight <= 0 ? 0 : Math.max(inFlight, smoothedInFlight) / openWeight;
     }
 
-    /** The same over the caches of one zone, where a plan keeps a request to that. */
+    /**
+     * The average load over the caches of one zone, for a request that the zone plan keeps in that
+     * zone.
+     */
     double averageLoad(ZoneId zone) {
         List<ServerNode> inZone =
                 owners.stream().filter(node -> node != null && node.isInZone(zone)).toList();
@@ -88,12 +91,15 @@
         return weight <= 0 ? 0 : load / weight;
     }
 
-    /** Periodic work. It must not grow with the fleet, as many proxies see few requests each. */
+    /**
+     * Periodic work. Its cost must not grow with the size of the fleet: it runs in every proxy, and
+     * many proxies handle few requests each.
+     */
     void housekeeping() {
-        smoothedInFlight += (inFlight - smoothedInFlight) * SMOOTHING;
+        smoothedInFlight += (inFlight - smoothedInFlight) * IN_FLIGHT_SMOOTHING;
         long now = context.now();
         if (now - speedsUpdatedAt >= SPEED_UPDATE_INTERVAL) {
-            if (context.fleetLatency.reportedAt() >= speedsUpdatedAt) {
+            if (context.fleetLatency.lastReportAt() >= speedsUpdatedAt) {
                 updateSpeeds();
             }
             speedsUpdatedAt = now;
@@ -115,8 +121,8 @@
     }
 
     /**
-     * Guards against sizes that say nothing of speed: slower kinds of machine open a part of their
-     * points.
+     * Guards against overloading machines whose nominal size overstates their speed: nodes of a
+     * slower machine kind open only a part of their points.
      */
     private void updateSpeeds() {
         speedsUpdatedAt = context.now();
@@ -128,33 +134,39 @@
         }
     }
 
-    /** Follows the endpoint list; nodes that stay keep their points. */
+    /**
+     * Rebuilds the ring from the endpoint list. Nodes whose number of points is unchanged keep
+     * their points.
+     */
     void rebuild() {
         BitSet freedSlots = new BitSet();
         double totalSize = 0;
         cacheCount = 0;
         int addedPoints = 0;
         for (ServerNode node : context.registry.nodes()) {
-            int wanted = wantedPoints(node);
-            if (wanted != node.pointCount() && node.isOnRing()) {
+            int wantedCount = wantedPointCount(node);
+            if (wantedCount != node.pointCount() && node.isOnRing()) {
                 freedSlots.set(node.slot());
                 owners.set(node.slot(), null);
                 node.leaveRing();
             }
-            node.pointCountChanged(wanted);
-            addedPoints += node.isOnRing() ? 0 : wanted;
-            totalSize += wanted > 0 ? node.size() : 0;
-            cacheCount += wanted > 0 ? 1 : 0;
+            node.pointCountChanged(wantedCount);
+            addedPoints += node.isOnRing() ? 0 : wantedCount;
+            totalSize += wantedCount > 0 ? node.size() : 0;
+            cacheCount += wantedCount > 0 ? 1 : 0;
         }
         points.change(freedSlots, join(totalSize, addedPoints));
-        context.registry.forgetGoneNodes();
+        context.registry.removeGoneNodes();
         context.loop.post(context.origin::membersChanged);
         updateSpeeds();
         housekeeping();
     }
 
-    /** Points follow the node's own size, not the fleet's mean, so that others' points stay put. */
-    private int wantedPoints(ServerNode node) {
+    /**
+     * The number of points depends on the node's own size only, not on the fleet's mean, so that a
+     * change of one node does not move the points of others.
+     */
+    private int wantedPointCount(ServerNode node) {
         if (!node.isReady() || context.origin.contains(node)) {
             return 0;
         }
@@ -162,7 +174,7 @@
         return (int) Math.max(1, count);
     }
 
-    /** Gives slots to nodes that have none yet; the encoded points of these nodes. */
+    /** Assigns slots to nodes that have none, and returns the encoded points of these nodes. */
     private long[] join(double totalSize, int addedPoints) {
         long[] added = new long[addedPoints];
         int next = addedPoints;
@@ -175,8 +187,8 @@
             owners.set(slot, node);
             node.joinRing(slot);
             for (int rank = 0; rank < node.pointCount(); rank++) {
-                long place = SplitMix64.mix(SplitMix64.mix(node.id().value()) + rank);
-                added[--next] = RingPoints.encode(place, slot, rank);
+                long position = SplitMix64.mix(SplitMix64.mix(node.id().value()) + rank);
+                added[--next] = RingPoints.encode(position, slot, rank);
             }
             node.enterTransition();
         }
--- a/src/main/java/cairnbridge/decision/Host.java
+++ b/src/main/java/cairnbridge/decision/Host.java
@@ -6,43 +6,52 @@
 import cairnbridge.decision.Ids.TimerId;
 
 /**
- * What a router may ask of the proxy it lives in. All durations are ticks. Calls take effect in the
- * order they are made, at the time of the event being handled.
+ * The operations that a router calls on the proxy it runs in. All durations are ticks. Calls take
+ * effect in the order in which they are made, at the time of the event being handled.
  */
 public interface Host {
     /**
-     * Starts an attempt; attempts of a request are numbered 0, 1, 2 ... in the order of these
+     * Sends an attempt. The attempts of a request are numbered 0, 1, 2 ... in the order of these
      * calls.
      *
-     * @param latestStart a time of the clock: the last byte leaves before it or not at all
+     * @param latestStart a clock time: the request's last byte is sent before it, or the attempt is
+     *     not sent
      */
     void sendAttempt(RequestId request, NodeId node, long timeout, long latestStart);
 
-    /** Cancels an attempt that is still open. */
+    /** Cancels an open attempt. */
     void cancelAttempt(RequestId request, int attempt);
 
-    /** Final answer: rejected, a repeat is harmless; a retry-after of 0 gives no advice. */
+    /**
+     * Sends the final answer: the request is rejected and a repeat is harmless. A retry-after of 0
+     * advises no delay.
+     */
     void rejectRetryable(RequestId request, long retryAfter);
 
-    /** Final answer: failed, with no promise about effects. */
+    /** Sends the final answer: the request has failed, and it may have had effects. */
     void failPermanently(RequestId request);
 
-    /** Starts a timer, which comes back as {@link Event.TimerFired}. */
+    /** Starts a timer. Its expiry is reported as {@link Event.TimerFired}. */
     void startTimer(long delay, TimerId timer);
 
-    /** Checks the health of a node, which comes back as {@link Event.HealthCheckEnded}. */
+    /**
+     * Starts a health check of a node. Its result is reported as {@link Event.HealthCheckEnded}.
+     */
     void checkHealth(NodeId node);
 
-    /** Sends a message to one peer, or to all of them when peer is null. */
+    /** Sends a message to one peer, or to all peers if {@code peer} is null. */
     void sendToPeer(PeerId peer, byte[] body);
 
-    /** Asks discovery for the endpoint list and its changes, or no longer. */
+    /** Subscribes to the endpoint list and its changes, or ends the subscription. */
     void subscribeToEndpoints(boolean on);
 
-    /** Asks discovery for the whole endpoint list once. */
+    /** Requests the full endpoint list from discovery once. */
     void fetchEndpointList();
 
-    /** Reports how many nodes of the list get nothing, or little, by maintenance or by choice. */
+    /**
+     * Reports how many listed nodes are in maintenance or receive few requests because they are
+     * unhealthy.
+     */
     void avoidedNodeCountChanged(int count);
 
     /** Writes a line to the log. */
--- a/src/main/java/cairnbridge/decision/Ids.java
+++ b/src/main/java/cairnbridge/decision/Ids.java
@@ -1,10 +1,13 @@
 package cairnbridge.decision;
 
-/** The kinds of id that cross the module's interface; each is a type of its own. */
+/**
+ * The identifiers used in the decision module's interface. Each kind is a separate type, so that
+ * they cannot be confused.
+ */
 public final class Ids {
     private Ids() {}
 
-    /** A request, by a number of its proxy's own. */
+    /** A request, numbered by its proxy. */
     public record RequestId(long value) {}
 
     /** A server. */
@@ -13,22 +16,22 @@
     /** The hash of a request's key. */
     public record KeyId(long value) {}
 
-    /** A class of requests, by its place in the settings. */
+    /** A class of requests, as an index into the settings' categories. */
     public record CategoryId(int value) {}
 
-    /** A tenant, by its place in the settings; below 0 for none. */
+    /** A tenant, as an index into the settings' tenants; negative for none. */
     public record TenantId(int value) {}
 
-    /** A zone. */
+    /** An availability zone. */
     public record ZoneId(int value) {}
 
-    /** A cell: the part of a zone whose servers share their memory of idempotency keys. */
+    /** A cell: the servers of a zone that share their record of idempotency keys. */
     public record CellId(int value) {}
 
-    /** A kind of machine, by its place in the settings. */
+    /** A machine kind, by its index in the configuration. */
     public record MachineKind(int value) {}
 
-    /** Another proxy. */
+    /** Another proxy of the fleet. */
     public record PeerId(int value) {}
 
     /** A timer of the host. */
--- a/src/main/java/cairnbridge/decision/InFlightLimit.java
+++ b/src/main/java/cairnbridge/decision/InFlightLimit.java
@@ -1,20 +1,29 @@
 package cairnbridge.decision;
 
-/** A limit of requests in flight at all caches, cut while they are overloaded. */
+/**
+ * An adaptive limit on requests in flight at all caches together, which is cut while the caches are
+ * overloaded.
+ */
 final class InFlightLimit {
     private static final double INITIAL_LEVEL = 200;
     private static final double CUT_FACTOR = 0.9;
-    private static final double USED_SHARE = 0.7;
+    private static final double USED_SHARE_FOR_RISE = 0.7;
     private static final double RISE_STEP = 0.1;
     private static final double RISE_SHARE = 0.05;
 
-    /** The latency ratio from which on the caches count as overloaded, and until which. */
+    /**
+     * The latency ratio above which the caches count as overloaded, and the ratio at or below which
+     * they count as recovered.
+     */
     private final double overloadedAbove;
 
     private final double relievedBelow;
 
-    /** How much more a small limit tolerates. */
-    private final double easing;
+    /**
+     * How much the thresholds rise as the limit gets smaller: they are multiplied by {@code 1 +
+     * smallLimitTolerance / level}.
+     */
+    private final double smallLimitTolerance;
 
     private double level = INITIAL_LEVEL;
     private boolean isOverloaded;
@@ -22,7 +31,7 @@
     InFlightLimit(double overloadedAbove, double relievedBelow, double easing) {
         this.overloadedAbove = overloadedAbove;
         this.relievedBelow = relievedBelow;
-        this.easing = easing;
+        this.smallLimitTolerance = easing;
     }
 
     double level() {
@@ -30,17 +39,20 @@
     }
 
     /**
-     * Follows how many times their usual latency requests take. Guards against caches that stay
-     * slow until they are drained: once overloaded, the limit is cut until they are well.
+     * Updates the limit from the ratio of the current latency to the usual latency. Guards against
+     * caches that stay slow until their queues are drained: once they are overloaded, the limit is
+     * cut until the ratio falls to the lower threshold.
      *
-     * @param cachesPerProxy how many caches there are for each proxy
+     * @param cachesPerProxy the number of caches divided by the number of proxies
      */
     void update(double latencyRatio, double minimum, int inFlight, double cachesPerProxy) {
-        double mark = (isOverloaded ? relievedBelow : overloadedAbove) * (1 + easing / level);
-        isOverloaded = latencyRatio > mark;
+        double threshold =
+                (isOverloaded ? relievedBelow : overloadedAbove)
+                        * (1 + smallLimitTolerance / level);
+        isOverloaded = latencyRatio > threshold;
         if (isOverloaded) {
             level = Math.max(minimum, Math.min(level, inFlight + 1) * CUT_FACTOR);
-        } else if (inFlight + 1 >= level * USED_SHARE) {
+        } else if (inFlight + 1 >= level * USED_SHARE_FOR_RISE) {
             level += RISE_STEP * Math.min(1, cachesPerProxy / 3) + level * RISE_SHARE;
         }
     }
--- a/src/main/java/cairnbridge/decision/LatencyHistogram.java
+++ b/src/main/java/cairnbridge/decision/LatencyHistogram.java
@@ -1,8 +1,8 @@
 package cairnbridge.decision;
 
 /**
- * A coarse histogram of latencies: bins grow by the square root of two; halved when it has seen
- * enough.
+ * A coarse histogram of latencies. Bin boundaries grow by a factor of the square root of two, and
+ * all counts are halved once {@code MAX_SAMPLES} have been added.
  */
 final class LatencyHistogram {
     private static final int BINS = 40;
@@ -11,7 +11,7 @@
     private static final int FLOOR_INTERVAL = 32;
     private static final double FLOOR_RISE = 1.02;
 
-    /** So high that some times as much is still a number of ticks. */
+    /** The floor while it is unknown, small enough to be multiplied by 8 without overflow. */
     private static final long UNKNOWN_FLOOR = Long.MAX_VALUE / 8;
 
     private final int[] bins = new int[BINS];
@@ -40,22 +40,26 @@
         }
     }
 
-    /** The lowest median seen; it creeps up, so that a lasting change is believed in the end. */
+    /**
+     * The lowest median seen. It rises slowly at each update, so that it follows a lasting increase
+     * in latency.
+     */
     long floor() {
         return floor >= Long.MAX_VALUE ? UNKNOWN_FLOOR : (long) floor;
     }
 
     /**
-     * The latency that a share of the samples does not exceed, or a default while there are few.
+     * Returns the latency that a share of the samples does not exceed, or the default while there
+     * are too few samples.
      */
     long quantile(double share, long defaultLatency) {
         if (total < MIN_SAMPLES) {
             return defaultLatency;
         }
-        double left = share * total;
+        double remaining = share * total;
         for (int i = 0; i < BINS; i++) {
-            left -= bins[i];
-            if (left < 0) {
+            remaining -= bins[i];
+            if (remaining < 0) {
                 return Math.round(Math.pow(2, i / 2.0));
             }
         }
--- a/src/main/java/cairnbridge/decision/LoadReports.java
+++ b/src/main/java/cairnbridge/decision/LoadReports.java
@@ -4,14 +4,14 @@
 import java.util.List;
 
 /**
- * Reads load reports by the meaning of their columns; a figure that is absent or cannot be is below
- * 0.
+ * Reads load reports by their configured column names. A value that is missing or invalid is
+ * returned as a negative number.
  */
 final class LoadReports {
     private static final double UNKNOWN = -1;
     private static final double MAX_UTILIZATION = 0.95;
 
-    /** The least share of a core that a request gets, however busy that is. */
+    /** The lower bound on the idle share of a core in the latency estimate. */
     private static final double MIN_IDLE_SHARE = 0.5;
 
     private final int inFlightColumn;
@@ -29,8 +29,8 @@
     }
 
     /**
-     * How long a request stays there just now: by Little's law, or as work shares a core that is so
-     * busy.
+     * Returns the current time that a request spends at the node: by Little's law from requests in
+     * flight and request rate, or else the reported latency divided by the idle share of the core.
      */
     double latency(double[] report) {
         double inFlight = value(report, inFlightColumn);
@@ -45,7 +45,7 @@
                 : latency * Ticks.MILLISECOND / Math.max(MIN_IDLE_SHARE, 1 - utilization);
     }
 
-    /** How long a request would take on the idle node. */
+    /** Returns the time that a request would take on the node if it were idle. */
     double work(double[] report) {
         double inFlight = value(report, inFlightColumn);
         double rate = value(report, rateColumn);
@@ -59,7 +59,10 @@
                 : latency * Ticks.MILLISECOND * (1 - Math.min(MAX_UTILIZATION, utilization));
     }
 
-    /** Guards against one bad figure: a row of another width is dropped, or the figure alone. */
+    /**
+     * Guards against invalid reports: a report with an unexpected number of columns is ignored as a
+     * whole, and an invalid value is ignored by itself.
+     */
     private double value(double[] report, int column) {
         boolean isUsable =
                 report != null
--- a/src/main/java/cairnbridge/decision/MessageLoop.java
+++ b/src/main/java/cairnbridge/decision/MessageLoop.java
@@ -6,9 +6,10 @@
 import java.util.Map;
 
 /**
- * Carries calls between the components of one router: at once in the order of their posting, or
- * when a timer of the host fires. A component never calls into another that could call back; it
- * posts, so that each sees the others' state as it was when the call before it had ended.
+ * Passes calls between the components of one router, immediately in the order in which they are
+ * posted, or when a host timer fires. A component never directly calls a component that could call
+ * back. It posts the call instead, so that each call runs after the previous one has completed and
+ * sees consistent state.
  */
 final class MessageLoop {
     private final Host host;
@@ -20,18 +21,18 @@
         this.host = host;
     }
 
-    /** Runs a call after all that are posted already. */
+    /** Queues a call behind all calls that are already posted. */
     void post(Runnable call) {
         posted.add(call);
     }
 
-    /** Posts a call after a delay in ticks, of one tick at least. */
+    /** Posts a call after a delay in ticks, at least one tick. */
     void schedule(long delay, Runnable call) {
         scheduled.put(++lastTimer, call);
         host.startTimer(Math.max(1, delay), new TimerId(lastTimer));
     }
 
-    /** Posts the call of a timer; one that is not known is ignored. */
+    /** Posts the call scheduled for a timer; an unknown timer is ignored. */
     void timerFired(TimerId timer) {
         Runnable call = scheduled.remove(timer.value());
         if (call != null) {
@@ -39,7 +40,7 @@
         }
     }
 
-    /** Runs posted calls, and those that they post, until none is left. */
+    /** Runs all posted calls, including those posted meanwhile, until the queue is empty. */
     void drain() {
         for (Runnable call = posted.poll(); call != null; call = posted.poll()) {
             call.run();
--- a/src/main/java/cairnbridge/decision/MovingAverage.java
+++ b/src/main/java/cairnbridge/decision/MovingAverage.java
@@ -2,7 +2,10 @@
 
 import cairnbridge.time.Ticks;
 
-/** An average that follows its samples: all alike at first, later ones more once there are many. */
+/**
+ * A moving average: the plain mean of the first {@code MAX_SAMPLES} samples, after which each new
+ * sample has a fixed weight.
+ */
 final class MovingAverage {
     private static final int MAX_SAMPLES = 64;
     private static final double MAX_WEIGHT = 0.5;
@@ -24,8 +27,8 @@
     }
 
     /**
-     * The weight of a new sample in an average over so many: the more, the longer ago the sample
-     * before it.
+     * Returns the weight of a new sample in an average over about {@code samples} samples. A longer
+     * gap since the previous sample gives it more weight.
      */
     static double weightAfter(long gap, double samples) {
         return Math.min(MAX_WEIGHT, Math.max(1 / samples, (double) gap / Ticks.SECOND));
--- a/src/main/java/cairnbridge/decision/NodeHealth.java
+++ b/src/main/java/cairnbridge/decision/NodeHealth.java
@@ -3,7 +3,7 @@
 import cairnbridge.decision.Event.AttemptOutcome;
 import cairnbridge.time.Ticks;
 
-/** How far one server is trusted, by the ends of this proxy's attempts there. */
+/** The health of one server, estimated from the outcomes of this proxy's attempts there. */
 final class NodeHealth {
     private static final double MIN_SHARE = 0.05;
     private static final double FAILURE_FACTOR = 0.85;
@@ -11,12 +11,14 @@
     private static final double RECOVERY_FACTOR = 1.005;
     private static final double RECOVERY_STEP = 0.001;
 
-    /** An end at a node seen seldom stands for at most so many. */
-    private static final double MAX_ENDS = 12;
+    /** The largest number of outcomes that a single outcome counts for after a long gap. */
+    private static final double MAX_OUTCOME_WEIGHT = 12;
 
-    private static final double ENDS_PER_SECOND = 4.0;
+    private static final double OUTCOME_WEIGHT_PER_SECOND = 4.0;
 
-    /** An orphaned attempt keeps its place for this long, doubled with each failure in a row. */
+    /**
+     * How long an orphaned attempt stays in the load count; doubled with each consecutive failure.
+     */
     private static final long ORPHAN_TIME = RouterContext.HOUSEKEEPING_INTERVAL / 2;
 
     private static final int MAX_DOUBLINGS = 6;
@@ -24,12 +26,15 @@
     private final RouterContext context;
     private final ServerNode node;
 
-    /** The part of what it is offered that the node accepts; falls while its ends are late. */
+    /**
+     * The share of the offered requests that the node accepts. It falls with each late or failed
+     * attempt.
+     */
     private double acceptedShare = 1;
 
     private int consecutiveFailures;
     private int orphanedAttempts;
-    private long judgedAt;
+    private long lastUpdateAt;
 
     NodeHealth(RouterContext context, ServerNode node) {
         this.context = context;
@@ -40,13 +45,13 @@
         return acceptedShare;
     }
 
-    /** Failed attempts that the server may still be working on. */
+    /** The number of failed attempts that the server may still be working on. */
     int orphanedAttempts() {
         return orphanedAttempts;
     }
 
-    /** Takes a share that another router had learnt, as far as that still counts. */
-    void trust(double share, double weight) {
+    /** Restores a share recorded by another router; a lower weight moves it closer to 1. */
+    void restore(double share, double weight) {
         acceptedShare = Math.max(MIN_SHARE, 1 - (1 - share) * weight);
     }
 
@@ -61,7 +66,8 @@
     }
 
     void suspected() {
-        acceptedShare = Math.max(MIN_SHARE, acceptedShare * Math.pow(FAILURE_FACTOR, MAX_ENDS));
+        acceptedShare =
+                Math.max(MIN_SHARE, acceptedShare * Math.pow(FAILURE_FACTOR, MAX_OUTCOME_WEIGHT));
     }
 
     void attemptEnded(RequestPolicy policy, Event.AttemptEnded ended) {
@@ -71,19 +77,27 @@
         switch (ended.outcome()) {
             case SUCCESS, CACHE_MISS -> consecutiveFailures = 0;
             case NOT_SENT, CANCELLED -> {
-                // Says nothing of the server.
+                // These outcomes contain no information about the server's health.
             }
-            default -> orphan();
+            default -> addOrphan();
         }
     }
 
     private void updateShare(RequestPolicy policy, Event.AttemptEnded ended) {
-        boolean isLate = ended.duration() > policy.lateAfter() || isFailure(ended.outcome());
-        // Guards against many proxies that each see few ends here: one stands for what others saw.
-        double gap = context.now() - judgedAt;
-        double ends = Math.max(1, Math.min(MAX_ENDS, gap * ENDS_PER_SECOND / Ticks.SECOND));
-        judgedAt = context.now();
-        double factor = Math.pow(isLate ? FAILURE_FACTOR : SUCCESS_FACTOR, ends);
+        boolean isLateOrFailed =
+                ended.duration() > policy.lateAfter() || isFailure(ended.outcome());
+        // Guards against slow detection in a large fleet, where each proxy sees few attempts per
+        // node: after a longer gap, one outcome counts for several that other proxies are likely to
+        // have seen.
+        double ticksSinceUpdate = context.now() - lastUpdateAt;
+        double outcomeWeight =
+                Math.max(
+                        1,
+                        Math.min(
+                                MAX_OUTCOME_WEIGHT,
+                                ticksSinceUpdate * OUTCOME_WEIGHT_PER_SECOND / Ticks.SECOND));
+        lastUpdateAt = context.now();
+        double factor = Math.pow(isLateOrFailed ? FAILURE_FACTOR : SUCCESS_FACTOR, outcomeWeight);
         acceptedShare = Math.max(MIN_SHARE, Math.min(1, acceptedShare * factor));
         if (acceptedShare < 1) {
             node.enterTransition();
@@ -98,17 +112,18 @@
     }
 
     /**
-     * Guards against a cache that fails fast, its count near none: failed attempts keep their place
-     * in the count for a growing time.
+     * Guards against a cache that fails fast: its in-flight count would stay near zero and attract
+     * requests. Failed attempts stay in the load count for a time that grows with consecutive
+     * failures.
      */
-    private void orphan() {
+    private void addOrphan() {
         consecutiveFailures++;
         orphanedAttempts++;
         long time = ORPHAN_TIME << Math.min(consecutiveFailures, MAX_DOUBLINGS);
-        context.loop.schedule(time, this::forgetOrphan);
+        context.loop.schedule(time, this::removeOrphan);
     }
 
-    private void forgetOrphan() {
+    private void removeOrphan() {
         orphanedAttempts = Math.max(0, orphanedAttempts - 1);
     }
 }
--- a/src/main/java/cairnbridge/decision/NodeLatency.java
+++ b/src/main/java/cairnbridge/decision/NodeLatency.java
@@ -2,31 +2,37 @@
 
 import cairnbridge.time.Ticks;
 
-/** What a request lately took at one server, as its reports and ends tell. */
+/** The recent latency of requests at one server, from its load reports and attempt durations. */
 final class NodeLatency {
-    /** After this time an estimate counts half. */
+    /** The age at which the estimate's difference from the typical latency counts half. */
     private static final double HALF_LIFE = 3.0 * Ticks.SECOND;
 
-    private static final double SAMPLES = 4;
+    private static final double LATENCY_SAMPLES = 4;
     private static final double MIN_SPEED = 0.05;
 
     private double estimate;
-    private long reportedAt;
+    private long lastSampleAt;
 
     void add(double latency, long now) {
-        double weight = reportedAt == 0 ? 1 : MovingAverage.weightAfter(now - reportedAt, SAMPLES);
+        double weight =
+                lastSampleAt == 0
+                        ? 1
+                        : MovingAverage.weightAfter(now - lastSampleAt, LATENCY_SAMPLES);
         estimate += (latency - estimate) * weight;
-        reportedAt = now;
+        lastSampleAt = now;
     }
 
-    /** 1 unless the server is slower than is typical, and than a quarter of the objective. */
-    double relativeSpeed(long now, double typical, long objective) {
-        if (reportedAt == 0) {
+    /**
+     * Returns 1 unless the expected latency exceeds both the typical latency and a quarter of the
+     * latency objective; otherwise the ratio of the larger of these to the expected latency.
+     */
+    double relativeSpeed(long now, double typicalLatency, long objective) {
+        if (lastSampleAt == 0) {
             return 1;
         }
-        double belief = Math.pow(0.5, (now - reportedAt) / HALF_LIFE);
-        double expected = typical + (estimate - typical) * belief;
-        double fair = Math.max(typical, objective / 4.0);
-        return expected <= fair ? 1 : Math.max(MIN_SPEED, fair / expected);
+        double confidence = Math.pow(0.5, (now - lastSampleAt) / HALF_LIFE);
+        double expected = typicalLatency + (estimate - typicalLatency) * confidence;
+        double acceptable = Math.max(typicalLatency, objective / 4.0);
+        return expected <= acceptable ? 1 : Math.max(MIN_SPEED, acceptable / expected);
     }
 }
--- a/src/main/java/cairnbridge/decision/NodeRegistry.java
+++ b/src/main/java/cairnbridge/decision/NodeRegistry.java
@@ -9,14 +9,17 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The servers that the endpoint list names, and which of them operators have in maintenance. */
+/** The servers of the endpoint list, and which of them are in maintenance. */
 final class NodeRegistry {
     private final RouterContext context;
     private final EndpointSubscription subscription;
     private final Map<NodeId, ServerNode> nodes =
             new TreeMap<>(Comparator.comparingLong(NodeId::value));
 
-    /** Since when; kept apart from the list, which knows nothing of maintenance. */
+    /**
+     * The start of each node's maintenance. Stored separately from the endpoint list, which does
+     * not contain maintenance.
+     */
     private final Map<NodeId, Long> maintenanceSince = new HashMap<>();
 
     NodeRegistry(RouterContext context) {
@@ -24,7 +27,7 @@
         subscription = new EndpointSubscription(context);
     }
 
-    /** All known servers by the order of their ids. */
+    /** All known servers, ordered by id. */
     Collection<ServerNode> nodes() {
         return nodes.values();
     }
@@ -33,19 +36,19 @@
         return maintenanceSince.containsKey(node);
     }
 
-    /** How many servers of the list are in maintenance. */
+    /** The number of listed servers that are in maintenance. */
     long maintenanceCount() {
         return maintenanceSince.keySet().stream().filter(nodes::containsKey).count();
     }
 
-    /** How far each server is trusted. */
-    Map<NodeId, WarmStartState.Trust> trust() {
-        Map<NodeId, WarmStartState.Trust> trust = new HashMap<>();
-        nodes.forEach((id, node) -> trust.put(id, node.trust()));
-        return trust;
+    /** The health of each server, for the warm start of the next router. */
+    Map<NodeId, WarmStartState.Trust> savedHealth() {
+        Map<NodeId, WarmStartState.Trust> health = new HashMap<>();
+        nodes.forEach((id, node) -> health.put(id, node.savedHealth()));
+        return health;
     }
 
-    /** Takes a list, a part of one, or the news that discovery could not be reached. */
+    /** Handles a full endpoint list, a list of changes, or a failure to reach discovery. */
     void endpointListReceived(Event.EndpointListReceived list) {
         if (list.scope() == ListScope.FAILED) {
             subscription.failed();
@@ -54,7 +57,7 @@
         if (list.scope() != ListScope.CACHED) {
             subscription.succeeded();
         }
-        // Guards against a list that has lost its contents: what is known stays in use.
+        // Guards against an empty list sent in error: the known endpoints stay in use.
         if (list.scope() != ListScope.CHANGES && !list.endpoints().isEmpty()) {
             nodes.values().forEach(ServerNode::leftEndpointList);
         }
@@ -66,8 +69,8 @@
     }
 
     /**
-     * Guards against a node restarted meanwhile, of which the list tells late: it comes back as
-     * cold.
+     * Guards against sending full load to a node that was restarted during its maintenance, when
+     * the endpoint list reports the restart late: the node goes through slow start.
      */
     void maintenanceChanged(Event.MaintenanceChanged event) {
         if (event.inMaintenance()) {
@@ -89,10 +92,8 @@
         }
     }
 
-    /**
-     * Guards against memory that grows with every node that ever was, as nodes come and go all day.
-     */
-    void forgetGoneNodes() {
-        nodes.values().removeIf(ServerNode::isForgettable);
+    /** Guards against unbounded memory use, as nodes join and leave continuously. */
+    void removeGoneNodes() {
+        nodes.values().removeIf(ServerNode::isRemovable);
     }
 }
--- a/src/main/java/cairnbridge/decision/OriginLimiter.java
+++ b/src/main/java/cairnbridge/decision/OriginLimiter.java
@@ -12,13 +12,15 @@
 import java.util.Map;
 
 /**
- * The origin behind the caches: off the ring, with a limit of its own, a short queue, and one fetch
- * a key at a time.
+ * Limits requests to the origin behind the caches. The origin is not on the ring; it has its own
+ * concurrency limit, a short queue, and at most one fetch per key at a time.
  */
 final class OriginLimiter {
     private static final double LATENCY_SAMPLES = 8;
 
-    /** By this part the typical latency falls while nothing is in flight. */
+    /**
+     * The share by which the typical latency falls per housekeeping run while nothing is in flight.
+     */
     private static final double IDLE_DECAY = 0.05;
 
     private final RouterContext context;
@@ -45,7 +47,9 @@
         limit = new ConcurrencyLimit(context);
     }
 
-    /** Whether caches leave it to the proxy to fetch what they lack. */
+    /**
+     * Whether the proxy fetches from the origin what a cache lacks, instead of the cache doing so.
+     */
     boolean isLookAside() {
         return isLookAside;
     }
@@ -62,12 +66,15 @@
         return isLookAside && node.machineKind().equals(machineKind);
     }
 
-    /** A key being fetched is not asked of a cache meanwhile. */
+    /** Whether the key is being fetched. Requests for it skip the caches meanwhile. */
     boolean isFetching(KeyId key) {
         return key != null && fetches.containsKey(key);
     }
 
-    /** Queues a request for the origin, or has it wait for another's fetch of its key. */
+    /**
+     * Queues a request for the origin, or makes it wait for another request's fetch of the same
+     * key.
+     */
     void fetch(Request request) {
         enqueue(request);
         sendQueued();
@@ -78,41 +85,44 @@
         boolean isSuccess = ended.outcome() == AttemptOutcome.SUCCESS;
         boolean isLate = ended.duration() > (request.usefulUntil - request.arrivedAt) / 2;
         boolean isLost = isLate && limit.minimum() < 1;
-        // Guards against feeding a slowed origin requests that run out of time there: they count
-        // as well.
+        // Guards against sending a slow origin requests that will time out there: the durations of
+        // timed-out attempts count towards its typical latency as well.
         if (isSuccess || ended.outcome() == AttemptOutcome.TIMED_OUT || isLost) {
-            long gap = context.now() - limit.lastEndAt();
+            long gap = context.now() - limit.lastAttemptEndAt();
             double weight = MovingAverage.weightAfter(gap, LATENCY_SAMPLES);
             typicalLatency += (ended.duration() - typicalLatency) * weight;
         }
-        if (isLost || isConclusive(ended.outcome())) {
-            limit.ended(!isSuccess || isLate, inFlight);
+        if (isLost || reflectsOriginLoad(ended.outcome())) {
+            limit.attemptEnded(!isSuccess || isLate, inFlight);
         }
-        endFetch(request, isSuccess);
+        completeFetch(request, isSuccess);
         sendQueued();
     }
 
-    private static boolean isConclusive(AttemptOutcome outcome) {
+    private static boolean reflectsOriginLoad(AttemptOutcome outcome) {
         return outcome != AttemptOutcome.CANCELLED && outcome != AttemptOutcome.NOT_SENT;
     }
 
-    /** Guards against followers held for as long as an answer takes to pass through. */
+    /**
+     * Guards against followers that wait while a long response streams: the fetch counts as
+     * complete once its response begins.
+     */
     void streamingStarted(Request request) {
-        endFetch(request, true);
+        completeFetch(request, true);
         sendQueued();
     }
 
-    /** The dispatcher has not sent what was taken from the queue. */
+    /** The dispatcher's rules did not allow an attempt for a request taken from the queue. */
     void attemptVetoed(Request request) {
         inFlight--;
-        endFetch(request, false);
+        completeFetch(request, false);
         sendQueued();
     }
 
-    /** A request that waits needs no answer any more. */
+    /** Removes a waiting request that needs no answer any more. */
     void cancelled(Request request) {
         if (queue.remove(request)) {
-            endFetch(request, false);
+            completeFetch(request, false);
         }
         sendQueued();
     }
@@ -145,27 +155,28 @@
                 return;
             }
         }
-        // Guards against a queue of requests that will be too late: who cannot make it is answered
-        // at once.
-        long ahead =
+        // Guards against queueing requests that would be answered too late: a request whose
+        // estimated wait exceeds its remaining time is answered immediately.
+        long queuedAhead =
                 queue.stream()
                         .filter(other -> other.priorityWeight() >= request.priorityWeight())
                         .count();
-        double wait = typicalLatency * (1 + ahead / Math.max(1, limit.level()));
+        double wait = typicalLatency * (1 + queuedAhead / Math.max(1, limit.level()));
         double relativePriority = request.priorityWeight() / highestPriority;
         if (timeLeft(request) <= wait || !limit.admits(relativePriority)) {
-            giveUp(request);
+            abandonFetch(request);
         } else {
             queue.add(request);
         }
     }
 
     /**
-     * Guards against requests held until their TTL for a fetch that takes longer than they have.
+     * Guards against holding a request until its TTL for a fetch that takes longer than the
+     * request's remaining time.
      */
     private void follow(CoalescedFetch fetch, Request request) {
         if (timeLeft(request) <= typicalLatency) {
-            giveUp(request);
+            abandonFetch(request);
         } else {
             fetch.follow(request);
         }
@@ -175,53 +186,53 @@
         return request.usefulUntil - context.now();
     }
 
-    /** Sends from the queue while the limit allows, highest priority first. */
+    /** Sends queued requests while the limit allows, highest priority first. */
     private void sendQueued() {
-        dropLate();
-        double most = Math.max(1, Math.floor(limit.level()));
-        while (inFlight < most && !queue.isEmpty() && !replicas.isEmpty()) {
+        abandonLateRequests();
+        double maxInFlight = Math.max(1, Math.floor(limit.level()));
+        while (inFlight < maxInFlight && !queue.isEmpty() && !replicas.isEmpty()) {
             Request request =
                     Collections.max(queue, Comparator.comparingDouble(Request::priorityWeight));
             queue.remove(request);
             ServerNode node =
                     Collections.min(replicas, Comparator.comparingInt(ServerNode::inFlight));
             inFlight++;
-            request.stopWaitingForOrigin();
+            request.originWaitEnded();
             context.loop.post(() -> node.accept(request));
         }
     }
 
-    /** Requests that cannot be answered in time any more give up. */
-    private void dropLate() {
+    /** Abandons queued requests that cannot be answered in time any more. */
+    private void abandonLateRequests() {
         for (int i = queue.size() - 1; i >= 0; i--) {
             Request request = queue.get(i);
             if (timeLeft(request) <= typicalLatency) {
                 queue.remove(i);
-                giveUp(request);
+                abandonFetch(request);
             }
         }
     }
 
-    private void giveUp(Request request) {
-        request.stopWaitingForOrigin();
-        endFetch(request, false);
+    private void abandonFetch(Request request) {
+        request.originWaitEnded();
+        completeFetch(request, false);
         context.loop.post(() -> context.requests.cannotContinue(request, Ticks.SECOND));
     }
 
     /**
-     * The fetch that a request led has ended: followers ask the cache where it landed, or try
-     * themselves.
+     * Ends the fetch that a request leads. After a success, its followers are sent to the cache
+     * that missed the key first; otherwise each follower fetches by itself.
      */
-    private void endFetch(Request leader, boolean isSuccess) {
+    private void completeFetch(Request leader, boolean isSuccess) {
         boolean isShared = !leader.isWrite && leader.key != null;
         CoalescedFetch fetch = isShared ? fetches.get(leader.key) : null;
         if (fetch == null || !fetch.isLedBy(leader)) {
             return;
         }
         fetches.remove(leader.key);
-        ServerNode cache = leader.missedAt();
+        ServerNode cache = leader.firstMissedAt();
         for (Request follower : fetch.followers()) {
-            follower.stopWaitingForOrigin();
+            follower.originWaitEnded();
             if (follower.isFinished()) {
                 continue;
             }
--- a/src/main/java/cairnbridge/decision/Placement.java
+++ b/src/main/java/cairnbridge/decision/Placement.java
@@ -3,16 +3,19 @@
 import cairnbridge.decision.Ids.ZoneId;
 
 /**
- * Where a request's walk over the ring may go, by a plan that others make. Called on the router's
- * thread.
+ * Restricts a request's ring walk to a zone, according to a plan computed elsewhere. Called on the
+ * router's thread.
  */
 public interface Placement {
-    /** Nothing is planned: a request may go anywhere. */
+    /** No restriction: a request may go to any zone. */
     Placement ANYWHERE = (ringPoint, category) -> null;
 
-    /** The zone of a request that is to be rejected at once. */
+    /** The result for a request that is to be rejected immediately. */
     ZoneId NOWHERE = new ZoneId(-1);
 
-    /** The zone for a request, by its key's point on the ring and its category; null for any. */
+    /**
+     * Returns the zone for a request, from the position of its key on the ring and its category;
+     * null for any zone.
+     */
     ZoneId zone(long ringPoint, Settings.Category category);
 }
--- a/src/main/java/cairnbridge/decision/Request.java
+++ b/src/main/java/cairnbridge/decision/Request.java
@@ -8,12 +8,12 @@
 import java.util.Collections;
 import java.util.List;
 
-/** The record kept of one request from its arrival to the end of its last attempt. */
+/** The state of one request from its arrival to the end of its last attempt. */
 final class Request {
     final RequestId id;
     final RequestPolicy policy;
 
-    /** Null where the request names none. */
+    /** Null if the request names no key. */
     final KeyId key;
 
     final int tenant;
@@ -21,7 +21,7 @@
     final long arrivedAt;
     final long deadline;
 
-    /** An answer after this is worth nothing. */
+    /** The time after which an answer has no value. */
     final long usefulUntil;
 
     final boolean isWrite;
@@ -33,7 +33,7 @@
     private boolean isFinished;
     private boolean isStreaming;
     private boolean isWaitingForOrigin;
-    private ServerNode missedAt;
+    private ServerNode firstMissedAt;
 
     Request(Event.RequestArrived event, RequestPolicy policy, long now) {
         id = event.request();
@@ -52,12 +52,12 @@
         priorityWeight = policy.priorityWeight();
     }
 
-    /** All attempts so far, by their number. */
+    /** All attempts so far; the index is the attempt's number. */
     List<Attempt> attempts() {
         return attemptsView;
     }
 
-    /** The attempt of a number while it is open; null otherwise. */
+    /** Returns the attempt of this number if it is open, otherwise null. */
     Attempt openAttempt(int number) {
         boolean isKnown = number >= 0 && number < attempts.size();
         return isKnown && attempts.get(number).isOpen() ? attempts.get(number) : null;
@@ -69,7 +69,7 @@
     }
 
     void attemptEnded(Attempt attempt, Event.AttemptOutcome outcome) {
-        attempt.ended(outcome);
+        attempt.markEnded(outcome);
         openAttempts--;
     }
 
@@ -77,7 +77,7 @@
         return openAttempts;
     }
 
-    /** Whether some attempt is not proven to have had no effect. */
+    /** Whether any attempt may have had an effect at its server. */
     boolean mayHaveRun() {
         for (Attempt attempt : attempts) {
             if (attempt.mayHaveRun()) {
@@ -97,8 +97,8 @@
     }
 
     /**
-     * The last time at which one more attempt may begin: within the deadline, and within the
-     * deduplication window, which counts from the first attempt that may have run.
+     * The latest time at which another attempt may start: within the deadline, and within the
+     * deduplication window, which begins with the first attempt that may have run.
      */
     long latestStart(long clockGranularity) {
         long latest = deadline - clockGranularity;
@@ -115,12 +115,12 @@
         return priorityWeight;
     }
 
-    /** Beyond its tenant's quota a request counts less. */
+    /** Lowers the priority of a request that exceeds its tenant's quota. */
     void lowerPriority(double factor) {
         priorityWeight *= factor;
     }
 
-    /** Whether nothing is owed any more. */
+    /** Whether the request needs no answer any more. */
     boolean isFinished() {
         return isFinished;
     }
@@ -129,7 +129,7 @@
         isFinished = true;
     }
 
-    /** Whether the answer has begun to pass through to the client. */
+    /** Whether the response has begun to stream to the client. */
     boolean isStreaming() {
         return isStreaming;
     }
@@ -138,7 +138,7 @@
         isStreaming = true;
     }
 
-    /** Whether it is in the origin's queue, or waits for another request's fetch. */
+    /** Whether the request is in the origin's queue or waits for another request's fetch. */
     boolean isWaitingForOrigin() {
         return isWaitingForOrigin;
     }
@@ -147,16 +147,16 @@
         isWaitingForOrigin = true;
     }
 
-    void stopWaitingForOrigin() {
+    void originWaitEnded() {
         isWaitingForOrigin = false;
     }
 
-    /** The first cache that lacked the key; null where none did. */
-    ServerNode missedAt() {
-        return missedAt;
+    /** The first cache that did not hold the key, null if there is none. */
+    ServerNode firstMissedAt() {
+        return firstMissedAt;
     }
 
-    void missedAt(ServerNode node) {
-        missedAt = missedAt == null ? node : missedAt;
+    void recordMissAt(ServerNode node) {
+        firstMissedAt = firstMissedAt == null ? node : firstMissedAt;
     }
 }
--- a/src/main/java/cairnbridge/decision/RequestPolicy.java
+++ b/src/main/java/cairnbridge/decision/RequestPolicy.java
@@ -3,7 +3,10 @@
 import cairnbridge.decision.Settings.DeduplicationScope;
 import cairnbridge.decision.Settings.Effect;
 
-/** What decisions use of a category, with the latencies of its cache hits. */
+/**
+ * The settings of a category that routing decisions use, with a histogram of the category's cache
+ * hit latencies.
+ */
 record RequestPolicy(
         Effect effect,
         DeduplicationScope deduplicationScope,
@@ -28,8 +31,8 @@
     }
 
     /**
-     * A hit that took longer than this waited behind others: some times the usual, within the
-     * objective.
+     * The duration above which a cache hit counts as late because it had to queue: a multiple of
+     * the usual latency, bounded by shares of the latency objective.
      */
     long lateAfter() {
         long usual = LATE_MULTIPLE * hitLatency.floor();
--- a/src/main/java/cairnbridge/decision/RequestTable.java
+++ b/src/main/java/cairnbridge/decision/RequestTable.java
@@ -7,14 +7,17 @@
 import java.util.List;
 import java.util.Map;
 
-/** Owns every request from its arrival to the end of its last attempt. */
+/**
+ * Stores every request from its arrival to the end of its last attempt, and decides on its retries
+ * and hedged requests.
+ */
 final class RequestTable {
     private final RouterContext context;
     private final List<RequestPolicy> policies;
     private final Map<RequestId, Request> requests = new HashMap<>();
     private final RetryBudget retryBudget = new RetryBudget();
 
-    /** Requests are answered this long before their deadline. */
+    /** How long before its deadline a request is answered at the latest. */
     private final long answerMargin;
 
     RequestTable(RouterContext context) {
@@ -23,7 +26,7 @@
         answerMargin = 2 * context.settings.proxy().clockGranularity();
     }
 
-    /** Begins the periodic work of ring and origin. */
+    /** Starts the periodic work of the ring and the origin limiter. */
     void startHousekeeping() {
         context.loop.schedule(RouterContext.HOUSEKEEPING_INTERVAL, this::housekeeping);
     }
@@ -34,7 +37,7 @@
         startHousekeeping();
     }
 
-    /** Takes an event about a request; one about a request that is not known is ignored. */
+    /** Handles an event about a request; events about unknown requests are ignored. */
     void handle(Event event) {
         if (event instanceof Event.RequestArrived arrived) {
             requestArrived(arrived);
@@ -71,8 +74,8 @@
     }
 
     /**
-     * Guards against requests that would outlast the process: they are answered as at their
-     * deadline.
+     * Guards against requests that are still unanswered when the process exits: at the shutdown
+     * deadline they are answered as if their own deadline had passed.
      */
     private void shutdownScheduled(long deadline) {
         long timeLeft = Math.max(0, deadline - answerMargin - context.now());
@@ -83,17 +86,17 @@
 
     private void expired(Request request) {
         if (!request.isFinished() && !request.isStreaming()) {
-            long advice = RouterContext.LONGEST_RETRY_AFTER;
-            context.loop.post(() -> context.dispatcher.answer(request, advice));
+            long retryAfter = RouterContext.LONGEST_RETRY_AFTER;
+            context.loop.post(() -> context.dispatcher.answer(request, retryAfter));
         }
     }
 
-    /** Sends an admitted request on its way to a cache, or to the origin. */
+    /** Forwards an admitted request to the ring of caches, or to the origin. */
     void admitted(Request request) {
         OriginLimiter origin = context.origin;
-        boolean toOrigin =
+        boolean goesToOrigin =
                 origin.isLookAside() && (request.isWrite || origin.isFetching(request.key));
-        if (toOrigin) {
+        if (goesToOrigin) {
             context.loop.post(() -> origin.fetch(request));
         } else {
             context.loop.post(() -> context.placer.place(request));
@@ -101,8 +104,7 @@
     }
 
     /**
-     * An attempt has been sent; when it outlasts nearly all others of its category, a hedged one
-     * may go elsewhere.
+     * Schedules a hedged request for an attempt that takes much longer than usual for its category.
      */
     void attemptSent(Request request, Attempt attempt) {
         RequestPolicy policy = request.policy;
@@ -112,9 +114,9 @@
             return;
         }
         LatencyHistogram latency = policy.hitLatency();
-        long longest = Math.max(policy.latencyObjective() / 2, 5 * latency.floor());
-        long usual = 2 * latency.quantile(0.95, policy.latencyObjective() / 4);
-        long delay = Math.min(longest, usual);
+        long maxDelay = Math.max(policy.latencyObjective() / 2, 5 * latency.floor());
+        long usualDelay = 2 * latency.quantile(0.95, policy.latencyObjective() / 4);
+        long delay = Math.min(maxDelay, usualDelay);
         if (request.deadline - context.now() > delay + latency.quantile(0.5, 0)) {
             context.loop.schedule(delay, () -> hedge(request, attempt));
         }
@@ -148,14 +150,17 @@
         if (event.isRequestOver() || request.isFinished()) {
             finish(request);
         } else if (event.outcome() == AttemptOutcome.CACHE_MISS) {
-            request.missedAt(attempt.node);
+            request.recordMissAt(attempt.node);
             context.loop.post(() -> context.origin.fetch(request));
         } else {
             retry(request, attempt, event.outcome().reachedNoNode() ? 0 : 1);
         }
     }
 
-    /** Tries elsewhere if rules, time and budget allow, else has the request answered. */
+    /**
+     * Retries at another node if the rules, the remaining time and the retry budget allow;
+     * otherwise the request is answered.
+     */
     private void retry(Request request, Attempt failed, int cost) {
         if (request.openAttempts() > 0 || request.isWaitingForOrigin()) {
             return;
@@ -163,8 +168,8 @@
         long timeLeft = request.deadline - context.now() - answerMargin;
         boolean hasTime = timeLeft > request.policy.hitLatency().quantile(0.25, 0);
         if (!hasTime || !retryBudget.has(cost) || !context.dispatcher.mayAttempt(request)) {
-            long advice = RouterContext.HOUSEKEEPING_INTERVAL;
-            context.loop.post(() -> context.dispatcher.answer(request, advice));
+            long retryAfter = RouterContext.HOUSEKEEPING_INTERVAL;
+            context.loop.post(() -> context.dispatcher.answer(request, retryAfter));
             return;
         }
         retryBudget.spend(cost);
@@ -175,15 +180,19 @@
         }
     }
 
-    /** No server can take a request now; it is answered unless an attempt is still open. */
+    /**
+     * Answers a request that no server can accept now, unless one of its attempts is still open.
+     */
     void cannotContinue(Request request, long retryAfter) {
         if (request.openAttempts() == 0) {
-            long advice = Math.max(RouterContext.HOUSEKEEPING_INTERVAL, retryAfter);
-            context.loop.post(() -> context.dispatcher.answer(request, advice));
+            long wantedRetryAfter = Math.max(RouterContext.HOUSEKEEPING_INTERVAL, retryAfter);
+            context.loop.post(() -> context.dispatcher.answer(request, wantedRetryAfter));
         }
     }
 
-    /** Nothing is owed for a request any more; it is kept until its last attempt has ended. */
+    /**
+     * Marks a request as needing no answer. It stays in the table until its last attempt has ended.
+     */
     void finish(Request request) {
         request.finish();
         if (request.isWaitingForOrigin()) {
--- a/src/main/java/cairnbridge/decision/RetryBudget.java
+++ b/src/main/java/cairnbridge/decision/RetryBudget.java
@@ -1,14 +1,14 @@
 package cairnbridge.decision;
 
-/** Bounds retries and hedged requests together to a part of all requests. */
+/** Limits retries and hedged requests together to a share of all requests. */
 final class RetryBudget {
-    private static final double SHARE = 0.1;
-    private static final double BURST = 10;
+    private static final double TOKENS_PER_REQUEST = 0.1;
+    private static final double MAX_TOKENS = 10;
 
-    private double tokens = BURST;
+    private double tokens = MAX_TOKENS;
 
     void requestArrived() {
-        tokens = Math.min(BURST, tokens + SHARE);
+        tokens = Math.min(MAX_TOKENS, tokens + TOKENS_PER_REQUEST);
     }
 
     boolean has(int cost) {
--- a/src/main/java/cairnbridge/decision/RingWalk.java
+++ b/src/main/java/cairnbridge/decision/RingWalk.java
@@ -8,8 +8,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One walk clockwise over the distinct nodes of the ring, from the point of a request's key. It
- * carries the average load and the least loaded node seen.
+ * A clockwise walk over the distinct nodes of the ring, starting at the point of a request's key.
+ * It stores the average load and the least loaded node seen so far.
  */
 final class RingWalk {
     final Request request;
@@ -17,7 +17,7 @@
     final boolean isKeyPopular;
     private final HashRing ring;
 
-    /** Null for any zone. */
+    /** The zone to which the walk is restricted, null for any zone. */
     private final ZoneId zone;
 
     private final BitSet seenSlots;
@@ -50,7 +50,7 @@
         }
     }
 
-    /** Starts at a random one of some neighbours of a node; the others are asked next. */
+    /** Starts at a random one of the nearest neighbours of a node; the others are visited next. */
     ServerNode startNear(ServerNode home, int spread, RandomGenerator random) {
         List<ServerNode> neighbours = new ArrayList<>();
         ServerNode node = home;
@@ -63,7 +63,7 @@
         return start;
     }
 
-    /** The next node that has had no attempt of this request; null where there is none. */
+    /** Returns the next node that has had no attempt of this request, or null if there is none. */
     ServerNode next() {
         if (!preferred.isEmpty()) {
             return preferred.poll();
@@ -77,16 +77,19 @@
         return null;
     }
 
-    /** Passes one point; its owner where it is open, not seen before and in the zone, or null. */
+    /**
+     * Moves past one point. Returns its owner if the point is open and the owner is in the zone and
+     * not yet seen, otherwise null.
+     */
     private ServerNode step() {
         RingPoints points = ring.points();
-        int here = position;
-        position = here + 1 == points.size() ? 0 : here + 1;
+        int index = position;
+        position = index + 1 == points.size() ? 0 : index + 1;
         pointsLeft--;
-        ServerNode node = ring.owner(points.slot(here));
+        ServerNode node = ring.owner(points.slot(index));
         boolean isCandidate =
                 !seenSlots.get(node.slot())
-                        && node.isPointOpen(points.rank(here))
+                        && node.isPointOpen(points.rank(index))
                         && (zone == null || node.isInZone(zone));
         if (!isCandidate) {
             return null;
@@ -100,7 +103,7 @@
         unseenCaches--;
     }
 
-    /** Whether a load is under the least seen so far. */
+    /** Whether a load is below the lowest load seen so far. */
     boolean isLeastLoad(double load) {
         return load < leastLoad;
     }
@@ -110,7 +113,7 @@
         leastLoad = load;
     }
 
-    /** The least loaded node seen that could take the request; null where none could. */
+    /** The least loaded node seen that could accept the request, null if there is none. */
     ServerNode leastLoaded() {
         return leastLoaded;
     }
--- a/src/main/java/cairnbridge/decision/Router.java
+++ b/src/main/java/cairnbridge/decision/Router.java
@@ -3,21 +3,25 @@
 import cairnbridge.time.Ticks;
 
 /**
- * The decision module of one proxy. Make one with its settings, seed, clock and host, then call
- * {@link #handle} for every event in order; it answers by calls on the host before it returns.
- * Nothing here reads a clock, a thread or another instance. All times are ticks.
+ * The decision module of one proxy. Create one with its settings, seed, clock and host, then call
+ * {@link #handle} for every event in order; the router responds by calling the host before {@link
+ * #handle} returns. It does not read a clock, start threads or share state with other instances.
+ * All times are ticks.
  *
- * <p>A request passes these components: {@link RequestTable} takes it, {@link AdmissionControl}
- * admits it, {@link RequestPlacer} begins a {@link RingWalk} clockwise from its key's point, the
- * first {@link ServerNode} under its cap accepts it, and {@link Dispatcher} sends the attempt or
- * the answer. What a cache lacks is fetched through {@link OriginLimiter}.
+ * <p>A request passes through these components: {@link RequestTable} stores it, {@link
+ * AdmissionControl} admits it, {@link RequestPlacer} starts a {@link RingWalk} clockwise from its
+ * key's point, the first {@link ServerNode} with capacity accepts it, and {@link Dispatcher} sends
+ * the attempt or the answer. Keys that a cache lacks are fetched through {@link OriginLimiter}.
  */
 public final class Router {
     private final RouterContext context;
 
     /**
-     * A router at a time of the clock. The warm start holds what still counts of what a router
-     * whose place it takes had learnt; all else starts afresh.
+     * Creates a router.
+     *
+     * @param clock the current clock time
+     * @param warmStart what a previous router has recorded, {@link WarmStartState#EMPTY} for none;
+     *     older records have less effect
      */
     public Router(Settings settings, long seed, long clock, Host host, WarmStartState warmStart) {
         context = new RouterContext(settings, seed, clock, host, warmStart);
@@ -28,18 +32,19 @@
     }
 
     /**
-     * What the next router may start with. Limits, key popularity, speeds of machine kinds and load
-     * reports depend on the shape of the fleet and are left out.
+     * Returns the state that a successor router may start with. Limits, key popularity, speeds of
+     * machine kinds and load reports depend on the size and composition of the fleet and are not
+     * included.
      */
     public WarmStartState warmStartState() {
         return new WarmStartState(
                 context.now(),
                 context.origin.typicalLatency(),
                 context.slowStart.sendsPerWindow() * Ticks.SECOND / context.slowStart.window(),
-                context.registry.trust());
+                context.registry.savedHealth());
     }
 
-    /** Takes one event at a time of the clock, and acts on the host until nothing is left to do. */
+    /** Handles one event at a clock time, and runs all calls that result from it. */
     public void handle(long clock, Event event) {
         context.advanceTo(clock);
         if (event instanceof Event.TimerFired fired) {
--- a/src/main/java/cairnbridge/decision/RouterContext.java
+++ b/src/main/java/cairnbridge/decision/RouterContext.java
@@ -4,12 +4,12 @@
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
 
-/** What the components of one router share, and through which they reach one another. */
+/** The state that the components of one router share, and references to the components. */
 final class RouterContext {
     /** The interval of periodic work. */
     static final long HOUSEKEEPING_INTERVAL = Ticks.SECOND / 10;
 
-    /** The longest retry-after that the settings allow; the dispatcher cuts it to that. */
+    /** The longest retry advice; the dispatcher reduces it to the configured maximum. */
     static final long LONGEST_RETRY_AFTER = Long.MAX_VALUE;
 
     private static final long WARM_START_HALF_LIFE = 15 * Ticks.SECOND;
@@ -20,7 +20,7 @@
     final RandomGenerator random;
     final LoadReports loadReports;
 
-    /** What a router whose place this one takes had learnt. */
+    /** The state recorded by the previous router. */
     final WarmStartState warmStart;
 
     final FleetLatency fleetLatency;
@@ -61,12 +61,12 @@
         return now;
     }
 
-    /** Moves the clock on; it never goes back. */
+    /** Advances the clock; an earlier time is ignored. */
     void advanceTo(long clock) {
         now = Math.max(now, clock);
     }
 
-    /** By how many proxies what is shared by all is divided. */
+    /** The number of proxies by which limits shared by the whole fleet are divided. */
     double proxyCount() {
         return proxyCount;
     }
@@ -83,7 +83,7 @@
         placement = changed;
     }
 
-    /** How much of the warm start still counts: half after some seconds, and it fades on. */
+    /** The weight of the warm start state, which halves every {@code WARM_START_HALF_LIFE}. */
     double warmStartWeight() {
         long age = now - warmStart.recordedAt();
         return age < 0 ? 0 : Math.pow(0.5, (double) age / WARM_START_HALF_LIFE);
--- a/src/main/java/cairnbridge/decision/ServerNode.java
+++ b/src/main/java/cairnbridge/decision/ServerNode.java
@@ -8,20 +8,23 @@
 import cairnbridge.decision.Ids.ZoneId;
 
 /**
- * One server, a cache or a replica of the origin: this proxy's requests in flight there, its place
- * on the ring, and whether it accepts one more request.
+ * One server, either a cache or a replica of the origin: this proxy's requests in flight there, its
+ * points on the ring, and the decision whether it accepts another request.
  */
 final class ServerNode {
-    /** The least cap, so that few requests in flight do not spill by chance. */
+    /**
+     * The lower bound of the cap on requests in flight. It keeps a few requests in flight from
+     * spilling over to the next node by chance.
+     */
     private static final int MIN_CAP = 2;
 
-    /** By how much the load of a cache may exceed the average. */
-    private static final double EPSILON = 0.6;
+    /** The factor by which a cache's load may exceed the average, minus 1. */
+    private static final double MAX_EXCESS_LOAD = 0.6;
 
-    /** A node that accepts a smaller share than this counts as avoided. */
+    /** A node whose accepted share is below this counts as avoided. */
     private static final double AVOIDED_SHARE = 0.1;
 
-    private static final double SPEED_STEP = 0.1;
+    private static final double MIN_SPEED_CHANGE = 0.1;
 
     private final NodeId id;
     private final RouterContext context;
@@ -34,16 +37,16 @@
     private long startedAt;
     private int inFlight;
 
-    /** The slot on the ring, below 0 while there is none. */
+    /** The node's slot on the ring, negative while the node is not on the ring. */
     private int slot = -1;
 
     private int pointCount;
     private double weight = 1;
 
-    /** Of the machine's kind, as a part of the fastest kind's. */
+    /** The speed of the node's machine kind, relative to the fastest kind. */
     private double speed = 1;
 
-    /** The part of the points that is in use. */
+    /** The share of the node's points that are in use. */
     private double openShare = 1;
 
     private boolean isInTransition;
@@ -54,9 +57,10 @@
         health = new NodeHealth(context, this);
         WarmStartState.Trust trust = context.warmStart.nodes().get(id);
         if (trust != null) {
-            // Where the list tells of another start, that forgets the rest.
+            // If the endpoint list contains a later start, restarted() discards the restored
+            // health.
             startedAt = trust.startedAt();
-            health.trust(trust.acceptedShare(), context.warmStartWeight());
+            health.restore(trust.acceptedShare(), context.warmStartWeight());
         }
     }
 
@@ -68,7 +72,7 @@
         return size;
     }
 
-    /** The time of the last start, 0 where it was long ago. */
+    /** The clock time of the last start, 0 if that was long ago. */
     long startedAt() {
         return startedAt;
     }
@@ -93,11 +97,11 @@
         return inFlight;
     }
 
-    WarmStartState.Trust trust() {
+    WarmStartState.Trust savedHealth() {
         return new WarmStartState.Trust(startedAt, health.acceptedShare());
     }
 
-    /** Follows what the endpoint list says of this server. */
+    /** Applies the endpoint list's entry for this server. */
     void endpointChanged(Endpoint changed) {
         endpoint = changed;
         state = changed.state();
@@ -107,17 +111,20 @@
         }
     }
 
-    /** A whole list does not name it. */
+    /** Marks the server as gone: a full endpoint list does not contain it. */
     void leftEndpointList() {
         state = NodeState.GONE;
     }
 
-    /** Where the last start is not known to lie in the maintenance, it counts as one of now. */
+    /**
+     * Treats the node as restarted when its maintenance ends. If no start during the maintenance is
+     * known, the current time counts as the start.
+     */
     void returnedFromMaintenance(long since) {
         restarted(startedAt < since ? context.now() : startedAt);
     }
 
-    /** A new process: forgets what the old one did wrong. */
+    /** Resets health and slow start for a new server process. */
     private void restarted(long start) {
         startedAt = start;
         health.reset();
@@ -125,12 +132,12 @@
         enterTransition();
     }
 
-    /** Whether new attempts may go there. */
+    /** Whether new attempts may be sent to this node. */
     boolean isReady() {
         return state == NodeState.READY && !context.registry.isInMaintenance(id);
     }
 
-    boolean isForgettable() {
+    boolean isRemovable() {
         return state == NodeState.GONE && inFlight == 0;
     }
 
@@ -158,7 +165,10 @@
         pointCount = count;
     }
 
-    /** The part of the average cache's load that is this one's; 1 for a cache of average size. */
+    /**
+     * The load that the node should carry relative to an average cache, 1 for a cache of average
+     * size.
+     */
     double weight() {
         return weight;
     }
@@ -172,13 +182,16 @@
     }
 
     void speedChanged(double changed) {
-        if (Math.abs(changed - speed) > SPEED_STEP) {
+        if (Math.abs(changed - speed) > MIN_SPEED_CHANGE) {
             speed = changed;
             updateOpenShare();
         }
     }
 
-    /** In slow start, points above the open share belong to the next node clockwise. */
+    /**
+     * Whether the point of this rank is in use. In slow start, requests for a closed point go to
+     * the next node clockwise.
+     */
     boolean isPointOpen(int rank) {
         return rank <= openShare * pointCount;
     }
@@ -187,17 +200,20 @@
         return weight * openShare;
     }
 
-    /** What slow start keeps closed of the weight. */
+    /** The part of the weight that slow start keeps closed. */
     double closedWeight() {
         return weight * (speed - openShare);
     }
 
-    /** The share of its capacity that a node is sure to have by now, from 0 to 1. */
+    /**
+     * Updates the share of open points from the node's speed and its slow start warmth, both from 0
+     * to 1.
+     */
     private void updateOpenShare() {
         openShare = speed * context.slowStart.warmth(this);
     }
 
-    /** Has the ring look after this node until it is warm and healthy. */
+    /** Registers the node for ring housekeeping until it is warm and healthy. */
     void enterTransition() {
         if (!isInTransition && isOnRing()) {
             isInTransition = true;
@@ -205,7 +221,10 @@
         }
     }
 
-    /** Opens what has warmed up meanwhile; whether the node is still cold or unhealthy. */
+    /**
+     * Opens the points that have warmed up since the last run. Returns whether the node is still in
+     * slow start or unhealthy.
+     */
     boolean updateTransition() {
         isInTransition = false;
         if (isOnRing()) {
@@ -223,16 +242,23 @@
         health.recover();
     }
 
-    /** Other proxies cannot reach it: distrusted sooner, and trusted again as ever. */
+    /**
+     * Lowers the accepted share because other proxies cannot reach the node. The share recovers as
+     * after failed attempts.
+     */
     void suspected() {
         health.suspected();
         enterTransition();
     }
 
-    /** Accepts the request of a walk while under the cap, or sends the walk on. */
-    void consider(RingWalk walk) {
+    /**
+     * Accepts the request of a walk if the node is under its cap and healthy enough, otherwise
+     * continues the walk.
+     */
+    void offer(RingWalk walk) {
         double average = walk.averageLoad;
-        double cap = Math.max(MIN_CAP, Math.ceil((1 + EPSILON) * average * weight * openShare));
+        double cap =
+                Math.max(MIN_CAP, Math.ceil((1 + MAX_EXCESS_LOAD) * average * weight * openShare));
         int load = inFlight + health.orphanedAttempts();
         double relativeSpeed = relativeSpeed(walk.request.policy.latencyObjective());
         double acceptance =
@@ -243,24 +269,24 @@
             accept(walk.request);
             return;
         }
-        double burden = (load + 1) / weight / health.acceptedShare() / relativeSpeed;
-        if (walk.isLeastLoad(burden) && context.slowStart.hasCapacity(this)) {
-            walk.rememberLeastLoaded(this, burden);
+        double relativeLoad = (load + 1) / weight / health.acceptedShare() / relativeSpeed;
+        if (walk.isLeastLoad(relativeLoad) && context.slowStart.hasCapacity(this)) {
+            walk.rememberLeastLoaded(this, relativeLoad);
         }
-        passOn(walk);
+        offerToNext(walk);
     }
 
-    /** Requests of seldom requested keys are declined only by nodes that are rather unhealthy. */
+    /** Requests for unpopular keys are declined only by nodes with a low accepted share. */
     private static int healthFactor(RingWalk walk) {
         return walk.isKeyPopular ? 1 : 2;
     }
 
-    private void passOn(RingWalk walk) {
+    private void offerToNext(RingWalk walk) {
         ServerNode next = walk.next();
         ServerNode leastLoaded = walk.leastLoaded();
         Request request = walk.request;
         if (next != null) {
-            context.loop.post(() -> next.consider(walk));
+            context.loop.post(() -> next.offer(walk));
         } else if (leastLoaded != null) {
             context.loop.post(() -> leastLoaded.accept(request));
         } else {
@@ -269,20 +295,22 @@
     }
 
     /**
-     * The part of its cap that a node has while a request takes longer there than at most others.
-     * Guards against a hot key met by many proxies, each with too few in flight to reach its cap.
+     * Returns the node's speed relative to most others, by the recent latency of requests. Guards
+     * against a hot key requested through many proxies, each with too few requests in flight to
+     * reach the node's cap.
      */
     private double relativeSpeed(long objective) {
-        return latency.relativeSpeed(context.now(), context.fleetLatency.typical(), objective);
+        return latency.relativeSpeed(
+                context.now(), context.fleetLatency.typicalLatency(), objective);
     }
 
-    /** Counts a request as in flight here and has it sent. */
+    /** Counts a request as in flight here and passes it to the dispatcher. */
     void accept(Request request) {
         inFlightChanged(1);
         context.loop.post(() -> context.dispatcher.send(request, this));
     }
 
-    /** The dispatcher has not sent what was accepted. */
+    /** Undoes {@link #accept} for a request that the dispatcher's rules did not allow. */
     void attemptVetoed() {
         inFlightChanged(-1);
     }
@@ -296,11 +324,11 @@
 
     void attemptEnded(Request request, Event.AttemptEnded ended) {
         inFlightChanged(-1);
-        loadReported(ended);
+        recordLatency(ended);
         health.attemptEnded(request.policy, ended);
     }
 
-    private void loadReported(Event.AttemptEnded ended) {
+    private void recordLatency(Event.AttemptEnded ended) {
         double reported = context.loadReports.latency(ended.loadReport());
         if (reported < 0 || context.origin.contains(this)) {
             return;
@@ -309,6 +337,6 @@
         double duration = (double) ended.duration();
         double observed = isSuccess ? duration : Math.max(reported, duration);
         latency.add((reported + observed) / 2, context.now());
-        context.loop.post(() -> context.fleetLatency.reported(this, ended));
+        context.loop.post(() -> context.fleetLatency.addReport(this, ended));
     }
 }
--- a/src/main/java/cairnbridge/decision/Settings.java
+++ b/src/main/java/cairnbridge/decision/Settings.java
@@ -5,7 +5,7 @@
 import cairnbridge.decision.Ids.ZoneId;
 import java.util.List;
 
-/** What a router is told at its start. Times and durations are ticks. */
+/** The settings of a router. Times and durations are ticks. */
 public record Settings(
         Proxy proxy,
         Origin origin,
@@ -19,11 +19,11 @@
         List<Tenant> tenants) {
 
     /**
-     * The proxy that the router decides for.
+     * The proxy that the router runs in.
      *
-     * @param count how many proxies there are, this one included
-     * @param clockGranularity the step of the clock
-     * @param answerSlack by how much an answer may miss its deadline
+     * @param count the configured number of proxies, including this one
+     * @param clockGranularity the resolution of the clock
+     * @param answerSlack how much later than its deadline an answer may arrive
      */
     public record Proxy(
             PeerId id, ZoneId zone, int count, long clockGranularity, long answerSlack) {}
@@ -31,10 +31,10 @@
     /**
      * The origin behind the caches.
      *
-     * @param isLookAside whether the proxy fetches what a cache lacks, and not the cache itself
-     * @param machineKind the kind that tells the origin's servers from caches
-     * @param overloadMultiple times its usual rate at which the origin falls
-     * @param overloadWindow the window over which that rate counts
+     * @param isLookAside whether the proxy, rather than the cache, fetches what a cache lacks
+     * @param machineKind the machine kind that distinguishes the origin's servers from caches
+     * @param overloadMultiple the multiple of its usual request rate at which the origin fails
+     * @param overloadWindow the window over which that rate is measured
      */
     public record Origin(
             boolean isLookAside,
@@ -43,25 +43,25 @@
             long overloadWindow) {}
 
     /**
-     * How the endpoint list comes.
+     * How the endpoint list is obtained.
      *
-     * @param mustSubscribe whether it has to be asked for
-     * @param retryWithin the longest time after a failure until it is asked for again
+     * @param mustSubscribe whether the router must subscribe to the list
+     * @param retryWithin the maximum time from a failure to the next subscription attempt
      */
     public record Discovery(boolean mustSubscribe, long retryWithin) {}
 
     /**
-     * How a started server warms up.
+     * The capacity of a server after its start.
      *
-     * @param initialShare of its capacity, at the start
-     * @param duration until all of its capacity is there
-     * @param overloadMultiple times its present capacity at which it falls
-     * @param overloadWindow the window over which that counts
+     * @param initialShare the share of its capacity available at the start
+     * @param duration the time until its full capacity is available
+     * @param overloadMultiple the multiple of its current capacity at which it fails
+     * @param overloadWindow the window over which its load is measured
      */
     public record SlowStart(
             double initialShare, long duration, double overloadMultiple, long overloadWindow) {}
 
-    /** What a proxy may do towards servers and other proxies for one request. */
+    /** What a proxy may do towards servers and other proxies. */
     public record Attempts(
             int maxAttempts,
             boolean mayHedge,
@@ -70,11 +70,12 @@
             boolean mayMessagePeers) {}
 
     /**
-     * What holds towards clients.
+     * What the router may assume about clients and may send to them.
      *
-     * @param mayAdviseRetry whether a rejection may say when to come back
-     * @param markRetries whether clients mark a request that they send again
-     * @param excessPriorityFactor the weight of a request beyond its tenant's quota
+     * @param mayAdviseRetry whether a rejection may contain a retry-after
+     * @param markRetries whether clients mark their retries
+     * @param excessPriorityFactor the factor applied to the priority of a request that exceeds its
+     *     tenant's quota
      */
     public record Clients(
             boolean mayAdviseRetry,
@@ -82,36 +83,36 @@
             boolean markRetries,
             double excessPriorityFactor) {}
 
-    /** What running a request more than once does. */
+    /** The effect of executing a request more than once. */
     public enum Effect {
-        /** Nothing more. */
+        /** A repeat has no further effect. */
         IDEMPOTENT,
-        /** Nothing more, where the idempotency key is still known. */
+        /** A repeat has no further effect while the server still stores the idempotency key. */
         DEDUPLICATED,
-        /** Harm: it may run once only. */
+        /** A repeat does harm; the request may be executed once only. */
         AT_MOST_ONCE
     }
 
-    /** Which servers share their memory of idempotency keys. */
+    /** The servers that share their record of idempotency keys. */
     public enum DeduplicationScope {
         /** All servers. */
         ALL_NODES,
-        /** Those of one zone. */
+        /** The servers of one zone. */
         ZONE,
-        /** Those of one cell. */
+        /** The servers of one cell. */
         CELL
     }
 
     /**
      * A class of requests.
      *
-     * @param deduplicationWindow how long a server knows an idempotency key
-     * @param latencyObjective an answer within it earns all
-     * @param objectiveStretch by how much the objective may grow
-     * @param ttl a request's time to live where it names none
-     * @param priorityWeight what an answer in time earns
-     * @param latePriorityWeight what a later one earns
-     * @param isStreamed whether answers are passed on as they come
+     * @param deduplicationWindow how long a server stores an idempotency key
+     * @param latencyObjective the latency within which an answer has its full value
+     * @param objectiveStretch by how much the objective may be extended
+     * @param ttl the time to live of a request that specifies none
+     * @param priorityWeight the value of an answer within the latency objective
+     * @param latePriorityWeight the value of a later answer
+     * @param isStreamed whether responses are streamed to the client
      */
     public record Category(
             Effect effect,
@@ -127,12 +128,12 @@
     /**
      * A tenant.
      *
-     * @param quotaPerSecond requests a second over all proxies together
-     * @param fraction its part of the traffic
+     * @param quotaPerSecond the quota in requests per second, over all proxies together
+     * @param fraction the tenant's share of the traffic
      */
     public record Tenant(double quotaPerSecond, double fraction) {}
 
-    /** Points of service for one unit of each. */
+    /** The cost of one unit of each resource, in points of the service score. */
     public record Prices(
             double crossZone, double waste, double probe, double peer, double lateFail) {}
 }
--- a/src/main/java/cairnbridge/decision/SlowStartBudget.java
+++ b/src/main/java/cairnbridge/decision/SlowStartBudget.java
@@ -3,27 +3,27 @@
 import cairnbridge.time.Ticks;
 
 /**
- * Bounds what a server in slow start is sent: within one window no more than its share of what a
- * warm one is sent.
+ * Limits the attempts sent to a server in slow start: within one window, to its share of the
+ * attempts that a warm server is sent.
  */
 final class SlowStartBudget {
     private static final double UNLIMITED = 1e9;
     private static final double MIN_MULTIPLE = 0.5;
 
-    /** What was sent counts for this many windows. */
-    private static final double MEMORY_WINDOWS = 3.0;
+    /** The time constant of the decay of {@code sent}, in windows. */
+    private static final double SENT_DECAY_WINDOWS = 3.0;
 
     private final RouterContext context;
     private final double initialShare;
     private final long duration;
-    private final double multiple;
+    private final double loadMultiple;
     private final long window;
     private final long createdAt;
 
-    /** Attempts sent to caches, of which what is old counts less. */
+    /** The number of attempts sent to caches, decayed exponentially. */
     private double sent;
 
-    private long countedAt;
+    private long sentUpdatedAt;
 
     SlowStartBudget(RouterContext context) {
         this.context = context;
@@ -31,17 +31,17 @@
         initialShare = settings.initialShare();
         duration = settings.duration();
         double overload = settings.overloadMultiple();
-        multiple = overload > 0 ? Math.max(MIN_MULTIPLE, overload / 2) : UNLIMITED;
+        loadMultiple = overload > 0 ? Math.max(MIN_MULTIPLE, overload / 2) : UNLIMITED;
         window = Math.max(1, settings.overloadWindow());
         createdAt = context.now();
     }
 
-    /** The window over which the settings count a server's requests. */
+    /** The configured window over which the load of a server is measured. */
     long window() {
         return window;
     }
 
-    /** The share of its capacity that a server has by now, 1 once it is warm. */
+    /** Returns the share of its capacity that a server has reached, 1 once slow start is over. */
     double warmth(ServerNode node) {
         long startedAt = node.startedAt();
         long now = context.now();
@@ -51,7 +51,7 @@
         return initialShare + (1 - initialShare) * Math.max(0, now - startedAt) / duration;
     }
 
-    /** Whether one more attempt may be sent to a server. */
+    /** Whether another attempt may be sent to a server now. */
     boolean hasCapacity(ServerNode node) {
         double warmth = warmth(node);
         if (warmth >= 1) {
@@ -64,14 +64,15 @@
     }
 
     /**
-     * Guards against a least of one at hundreds of proxies: a part of an attempt is a chance, and
-     * adds up while it is not used.
+     * Guards against a total load of one attempt per proxy and window, which hundreds of proxies
+     * would send if each budget were rounded up to one: a fractional attempt is granted with that
+     * probability, and unused fractions accumulate over the windows.
      */
     private void beginWindow(ServerNode node, double warmth) {
         long now = context.now();
         long length = Math.min(RouterContext.HOUSEKEEPING_INTERVAL, window);
         double windows = 1 + (double) (now - node.slowStartWindow().endsAt()) / length;
-        double budget = multiple * warmth * sendsPerWindow() * node.weight() * length / window;
+        double budget = loadMultiple * warmth * sendsPerWindow() * node.weight() * length / window;
         double attempts = Math.max(budget, Math.min(1, budget * windows));
         node.slowStartWindow().begin((int) (attempts + context.random.nextDouble()), now + length);
     }
@@ -83,21 +84,22 @@
     }
 
     /**
-     * What a cache is sent in one window for its open weight; a new router goes by all that it has
-     * sent yet, and by its warm start.
+     * Returns the number of attempts that a cache is sent per window and unit of open weight. A new
+     * router averages over the time since its creation and also uses its warm start state.
      */
     double sendsPerWindow() {
         long now = context.now();
-        double memory = MEMORY_WINDOWS * window;
-        sent *= Math.exp((countedAt - now) / memory);
-        countedAt = now;
+        double memory = SENT_DECAY_WINDOWS * window;
+        sent *= Math.exp((sentUpdatedAt - now) / memory);
+        sentUpdatedAt = now;
         long age = now - createdAt;
-        double seen = 1 - Math.exp(-Math.max(RouterContext.HOUSEKEEPING_INTERVAL, age) / memory);
-        // Guards against caches that all are cold, so that no share of a warm one's would ever be
-        // anything.
+        double observedShare =
+                1 - Math.exp(-Math.max(RouterContext.HOUSEKEEPING_INTERVAL, age) / memory);
+        // Guards against a budget near zero when all caches are cold, so that there is no warm
+        // cache's rate to take a share of: the rate from the warm start state is the lower bound.
         double warmStart =
                 age < duration ? context.warmStart.sendsPerSecond() * window / Ticks.SECOND : 0;
         double openWeight = Math.max(1, context.ring.openWeight());
-        return Math.max(warmStart, sent / seen * window / memory / openWeight);
+        return Math.max(warmStart, sent / observedShare * window / memory / openWeight);
     }
 }
--- a/src/main/java/cairnbridge/decision/SlowStartWindow.java
+++ b/src/main/java/cairnbridge/decision/SlowStartWindow.java
@@ -1,6 +1,9 @@
 package cairnbridge.decision;
 
-/** How many attempts one server in slow start may still be sent, and until when that counts. */
+/**
+ * The number of attempts that one server in slow start may still be sent, and the end of the
+ * current window.
+ */
 final class SlowStartWindow {
     private int remaining;
     private long endsAt;
--- a/src/main/java/cairnbridge/decision/TenantQuotas.java
+++ b/src/main/java/cairnbridge/decision/TenantQuotas.java
@@ -5,16 +5,17 @@
 import java.util.List;
 
 /**
- * This proxy's part of each tenant's quota, as token buckets. Guards against a proxy that carries
- * far more than most: its own traffic is shared out.
+ * This proxy's share of each tenant's quota, as token buckets. Guards against rejecting the
+ * requests of a proxy that receives far more traffic than most others: every request adds at least
+ * a fixed number of tokens, divided among the tenants by their quotas.
  */
 final class TenantQuotas {
-    /** By how much a proxy's part may exceed an even one. */
-    private static final double UNEVENNESS = 1.3;
+    /** The factor by which a proxy's share may exceed an equal one. */
+    private static final double UNEVEN_TRAFFIC_FACTOR = 1.3;
 
     /**
-     * The least size of a bucket. Guards against one proxy of many taking chance for excess: a few
-     * requests come in small crowds.
+     * The minimum bucket size. Guards against random variation that looks like excess at one of
+     * many proxies: a few requests may arrive in a short burst.
      */
     private static final double MIN_BUCKET = 5;
 
@@ -22,20 +23,20 @@
     private final double[] quotaPerTick;
     private final double[] trafficShare;
     private final double[] tokens;
-    private long filledAt;
+    private long lastRefillAt;
 
     TenantQuotas(RouterContext context) {
         this.context = context;
         List<Tenant> tenants = context.settings.tenants();
-        filledAt = context.now();
+        lastRefillAt = context.now();
         quotaPerTick = new double[tenants.size()];
         trafficShare = new double[tenants.size()];
         tokens = new double[tenants.size()];
         double total = tenants.stream().mapToDouble(Tenant::quotaPerSecond).sum();
         for (int i = 0; i < tokens.length; i++) {
             double quota = tenants.get(i).quotaPerSecond();
-            quotaPerTick[i] = UNEVENNESS * quota / Ticks.SECOND;
-            trafficShare[i] = UNEVENNESS * quota / total;
+            quotaPerTick[i] = UNEVEN_TRAFFIC_FACTOR * quota / Ticks.SECOND;
+            trafficShare[i] = UNEVEN_TRAFFIC_FACTOR * quota / total;
             tokens[i] = bucketSize(i);
         }
     }
@@ -44,24 +45,24 @@
         return Math.max(MIN_BUCKET, quotaPerTick[tenant] * Ticks.SECOND / context.proxyCount());
     }
 
-    /** Whether a request is beyond its tenant's quota; counts it where it is not. */
+    /** Whether a request exceeds its tenant's quota; if not, takes a token for it. */
     boolean isExceeded(int tenant) {
         boolean isLimited = tenant >= 0 && tenant < tokens.length && quotaPerTick[tenant] > 0;
         if (!isLimited) {
             return false;
         }
         refill();
-        boolean isSpent = tokens[tenant] < 1;
-        tokens[tenant] -= isSpent ? 0 : 1;
-        return isSpent;
+        boolean isEmpty = tokens[tenant] < 1;
+        tokens[tenant] -= isEmpty ? 0 : 1;
+        return isEmpty;
     }
 
     private void refill() {
         long now = context.now();
         for (int i = 0; i < tokens.length; i++) {
-            double byTime = quotaPerTick[i] * (now - filledAt) / context.proxyCount();
-            tokens[i] = Math.min(bucketSize(i), tokens[i] + Math.max(byTime, trafficShare[i]));
+            double timeTokens = quotaPerTick[i] * (now - lastRefillAt) / context.proxyCount();
+            tokens[i] = Math.min(bucketSize(i), tokens[i] + Math.max(timeTokens, trafficShare[i]));
         }
-        filledAt = now;
+        lastRefillAt = now;
     }
 }
--- a/src/main/java/cairnbridge/decision/TimeBudget.java
+++ b/src/main/java/cairnbridge/decision/TimeBudget.java
@@ -3,35 +3,41 @@
 import cairnbridge.time.Ticks;
 
 /**
- * The waits that add up to a term of the acceptance, each derived here from that term. Whoever
- * waits takes the wait from here; a test adds them up.
+ * Timeouts and delays whose sum must stay within an acceptance limit, each derived from that limit.
+ * Code that waits takes its delay from this class, and a test checks the sums.
  */
 public final class TimeBudget {
     /**
-     * A change of the endpoint list counts as notified so long after discovery had it and could be
-     * reached.
+     * The acceptance limit for the endpoint list: the proxy must know a change at most this long
+     * after discovery has it and is reachable.
      */
     public static final long NOTIFIED_MILLIS = 6000;
 
-    /** Discovery writes an empty line to a quiet watch this often. */
+    /** The interval at which discovery writes an empty line to an idle watch. */
     public static final long HEARTBEAT_MILLIS = 2000;
 
-    /** Kept back of every term for a process that is busy, and for the way of what is notified. */
+    /** The part of each limit that is reserved for a busy process and for delivering the change. */
     public static final long NOTIFIED_SLACK_MILLIS = NOTIFIED_MILLIS / 6;
 
-    /** How often a call is checked; silence is noticed so much late at the most. */
+    /** The interval at which a call is checked; silence is detected at most this much late. */
     public static final long CHECK_INTERVAL_MILLIS = NOTIFIED_MILLIS / 60;
 
-    /** A heartbeat that is three quarters late is missing: the watch is silent. */
+    /**
+     * The time without data after which a watch counts as silent: a heartbeat that is three
+     * quarters of its interval late.
+     */
     public static final long WATCH_SILENCE_MILLIS = HEARTBEAT_MILLIS * 7 / 4;
 
-    /** A call that has brought nothing by then, not so much as a connection, is given up. */
+    /**
+     * The time after which a call that has returned nothing is aborted, even if its connection is
+     * not established.
+     */
     public static final long CALL_TIMEOUT_MILLIS =
             NOTIFIED_MILLIS - NOTIFIED_SLACK_MILLIS - WATCH_SILENCE_MILLIS - CHECK_INTERVAL_MILLIS;
 
     /**
-     * The longest wait between a call that hangs as discovery returns and the one that has the
-     * change.
+     * The maximum delay between a call that hangs while discovery recovers and the call that
+     * fetches the change.
      */
     public static final long MAX_RETRY_WAIT_MILLIS =
             NOTIFIED_MILLIS
@@ -40,56 +46,63 @@
                     - CHECK_INTERVAL_MILLIS;
 
     /**
-     * The longest between two calls, jitter included, so that one more may fail at once after the
-     * return.
+     * The maximum delay between two calls, including jitter. It is half of the retry delay, so that
+     * one more call may fail immediately after the recovery.
      */
     public static final long MAX_BACKOFF_MILLIS = MAX_RETRY_WAIT_MILLIS / 2;
 
-    /** The first wait after a call that failed. */
+    /** The delay after the first failed call. */
     public static final long MIN_BACKOFF_MILLIS = 50;
 
-    /** After SIGHUP, what discovery has at its new address counts as notified so much later. */
+    /**
+     * The acceptance limit for a reload: after SIGHUP, the proxy must know the endpoint list of
+     * discovery's new address at most this much later.
+     */
     public static final long RELOAD_NOTIFIED_MILLIS = 4000;
 
-    /** How often the configuration file is checked where SIGHUP cannot arrive. */
+    /** The interval at which the configuration file is checked where SIGHUP cannot be received. */
     public static final long RELOAD_POLL_MILLIS = RELOAD_NOTIFIED_MILLIS / 16;
 
-    /** The platform counts TTLs up to this one when it sets the time from SIGTERM to SIGKILL. */
+    /**
+     * The longest TTL that the platform takes into account when it sets the time from SIGTERM to
+     * SIGKILL.
+     */
     public static final long LONGEST_TTL_MILLIS = 3000;
 
-    /** SIGKILL comes no sooner than this after the longest TTL. */
+    /** The minimum time between the end of the longest TTL and SIGKILL. */
     public static final long KILL_MARGIN_MILLIS = 700;
 
-    /** Of that, what the last answers need on their way. */
+    /** The part of {@link #KILL_MARGIN_MILLIS} reserved for delivering the last answers. */
     public static final long LAST_ANSWER_MILLIS = 100;
 
-    /** Of that, what the process needs to end. */
+    /** The part of {@link #KILL_MARGIN_MILLIS} reserved for the exit of the process. */
     public static final long EXIT_MILLIS = 100;
 
     private TimeBudget() {}
 
     /**
-     * The longest wait until a list is asked for again, where the settings give some time; in
-     * ticks.
+     * Returns the maximum delay in ticks before the endpoint list is requested again, from the time
+     * that the settings allow.
      */
     static long maxListRetryWait(long retryWithin) {
         return Math.min(retryWithin / 3, Ticks.fromMillis(MAX_RETRY_WAIT_MILLIS));
     }
 
     /**
-     * From SIGTERM on, for how long requests are taken and worked on; the longest TTL of the
-     * settings is given.
+     * Returns how long after SIGTERM requests are accepted and processed.
+     *
+     * @param longestTtlMillis the longest TTL in the settings
      */
     public static long shutdownServingMillis(long longestTtlMillis) {
         return Math.min(longestTtlMillis, LONGEST_TTL_MILLIS);
     }
 
-    /** From SIGTERM on, until when every request has its answer. */
+    /** Returns the time after SIGTERM by which every request is answered. */
     public static long shutdownAnsweringMillis(long longestTtlMillis) {
         return shutdownEndMillis(longestTtlMillis) - LAST_ANSWER_MILLIS;
     }
 
-    /** From SIGTERM on, until when the process waits for the last bytes to be taken. */
+    /** Returns how long after SIGTERM the process waits for its last bytes to be received. */
     public static long shutdownEndMillis(long longestTtlMillis) {
         return shutdownServingMillis(longestTtlMillis) + KILL_MARGIN_MILLIS - EXIT_MILLIS;
     }
--- a/src/main/java/cairnbridge/decision/WarmStartState.java
+++ b/src/main/java/cairnbridge/decision/WarmStartState.java
@@ -4,25 +4,26 @@
 import java.util.Map;
 
 /**
- * What a router has learnt that means the same to one that takes its place with other settings.
- * Times and durations are ticks.
+ * The estimates of a router that stay valid for a successor with other settings. Times and
+ * durations are ticks.
  *
- * @param recordedAt when it held
- * @param originLatency how long a fetch from the origin takes
- * @param sendsPerSecond how many requests a second a warm cache of nominal size was sent by this
- *     proxy, 0 where that is not told
- * @param nodes how far each server is trusted
+ * @param recordedAt the clock time at which the state was recorded
+ * @param originLatency the typical duration of a fetch from the origin
+ * @param sendsPerSecond the number of requests per second that this proxy sent to a warm cache of
+ *     nominal size, 0 if unknown
+ * @param nodes the health of each server
  */
 public record WarmStartState(
         long recordedAt, double originLatency, double sendsPerSecond, Map<NodeId, Trust> nodes) {
-    /** Nothing is known. */
+    /** The empty state, for a router without a predecessor. */
     public static final WarmStartState EMPTY = new WarmStartState(0, 0, 0, Map.of());
 
     /**
-     * How far one server is trusted.
+     * The recorded health of one server.
      *
-     * @param startedAt names its process
-     * @param acceptedShare the part of what it is offered that it accepts, 1 where all went well
+     * @param startedAt the start time of the server's process, which identifies it
+     * @param acceptedShare the share of the offered requests that the server accepts, 1 for a
+     *     healthy server
      */
     public record Trust(long startedAt, double acceptedShare) {}
 }
