--- a/src/main/java/cairnbridge/decision/AdmissionControl.java
+++ b/src/main/java/cairnbridge/decision/AdmissionControl.java
@@ -16,7 +16,7 @@
      */
     private static final long NEARLY_EXPIRED = Ticks.SECOND / 50;
 
-    private static final double MIN_CACHES_PER_PROXY = 0.5;
+    private static final double MIN_LEVEL_PER_CACHE = 0.5;
 
     private final RouterContext context;
     private final TenantQuotas quotas;
@@ -87,11 +87,11 @@
     }
 
     /**
-     * Returns the latency of an attempt relative to the usual latency. Guards against three
-     * distortions: a proxy that starts during an overload would take a high latency for usual, so
-     * the latency objective bounds the usual latency from above; a node in slow start would look
-     * overloaded, so its duration is scaled by its warmth; and the proxy's own queueing delay would
-     * dominate where caches are fast, so the usual latency is bounded from below.
+     * Guards against three distortions of the latency ratio. A proxy that starts during an overload
+     * would take a high latency for the usual one, so the latency objective bounds the usual
+     * latency from above. A node in slow start would look overloaded, so its duration is scaled by
+     * its warmth. The proxy's own queueing delay would look like overload where caches are fast, so
+     * the usual latency is also bounded from below.
      */
     private double latencyRatioOf(
             Request request, ServerNode node, Event.AttemptEnded ended, double reported) {
@@ -111,7 +111,7 @@
     void housekeeping() {
         int inFlight = context.ring.inFlight();
         double cachesPerProxy = context.ring.cacheCount() / context.proxyCount();
-        double minimum = Math.min(2, MIN_CACHES_PER_PROXY * cachesPerProxy);
+        double minimum = Math.min(2, MIN_LEVEL_PER_CACHE * cachesPerProxy);
         limit.update(latencyRatio, minimum, inFlight, cachesPerProxy);
         excessLimit.update(latencyRatio, 0, inFlight, cachesPerProxy);
     }
--- a/src/main/java/cairnbridge/decision/ConcurrencyLimit.java
+++ b/src/main/java/cairnbridge/decision/ConcurrencyLimit.java
@@ -12,8 +12,8 @@
     private static final long CUT_INTERVAL = RouterContext.HOUSEKEEPING_INTERVAL;
 
     /**
-     * The largest number of consecutive cuts applied for one late attempt after a long gap between
-     * attempts, for a minimum level of at least 1 and below 1.
+     * The largest number of cuts applied for one late attempt after a long gap between attempts.
+     * The second value applies while the minimum level is below 1.
      */
     private static final double MAX_CUTS = 6;
 
--- a/src/main/java/cairnbridge/decision/Dispatcher.java
+++ b/src/main/java/cairnbridge/decision/Dispatcher.java
@@ -136,8 +136,9 @@
     }
 
     /**
-     * Cancels the open attempts of a request that needs no answer any more. Only attempts of
-     * idempotent requests are cancelled.
+     * Cancels the open attempts of a request that needs no answer any more. Only idempotent
+     * requests are cancelled: an at-most-once request may still be executed, so cancelling it would
+     * help nobody.
      */
     void cancelOpenAttempts(Request request) {
         boolean mayCancel = settings.mayCancel() && request.policy.effect() == Effect.IDEMPOTENT;
--- a/src/main/java/cairnbridge/decision/EndpointSubscription.java
+++ b/src/main/java/cairnbridge/decision/EndpointSubscription.java
@@ -5,7 +5,8 @@
 /**
  * Renews the subscription to the endpoint list after a failure. Guards against overloading
  * discovery, which has a fixed capacity, with simultaneous retries from all proxies: the delay is
- * random, its bound doubles with each failure, and only one retry is scheduled at a time.
+ * random, its bound doubles with each of the first consecutive failures, and only one retry is
+ * scheduled at a time.
  */
 final class EndpointSubscription {
     private static final int MAX_DOUBLINGS = 2;
--- a/src/main/java/cairnbridge/decision/Placement.java
+++ b/src/main/java/cairnbridge/decision/Placement.java
@@ -10,7 +10,7 @@
     /** No restriction: a request may go to any zone. */
     Placement ANYWHERE = (ringPoint, category) -> null;
 
-    /** The result for a request that is to be rejected immediately. */
+    /** The zone returned for a request that is to be rejected immediately. */
     ZoneId NOWHERE = new ZoneId(-1);
 
     /**
--- a/src/main/java/cairnbridge/decision/RequestPlacer.java
+++ b/src/main/java/cairnbridge/decision/RequestPlacer.java
@@ -8,12 +8,12 @@
  */
 final class RequestPlacer {
     /**
-     * The share of a cache's fair share of the traffic above which a key is spread over several
+     * A key whose traffic exceeds this fraction of one cache's fair share is spread over several
      * caches.
      */
     private static final double HOT_KEY_SHARE = 0.5;
 
-    /** The share of a cache's fair share of the traffic above which a key counts as popular. */
+    /** A key whose traffic exceeds this fraction of one cache's fair share counts as popular. */
     private static final double POPULAR_KEY_SHARE = HOT_KEY_SHARE / 5;
 
     private final RouterContext context;
--- a/src/main/java/cairnbridge/decision/Router.java
+++ b/src/main/java/cairnbridge/decision/Router.java
@@ -20,8 +20,8 @@
      * Creates a router.
      *
      * @param clock the current clock time
-     * @param warmStart what a previous router has recorded, {@link WarmStartState#EMPTY} for none;
-     *     older records have less effect
+     * @param warmStart the state recorded by a previous router, {@link WarmStartState#EMPTY} for
+     *     none; it has less effect the older it is, and all other state starts empty
      */
     public Router(Settings settings, long seed, long clock, Host host, WarmStartState warmStart) {
         context = new RouterContext(settings, seed, clock, host, warmStart);
--- a/src/main/java/cairnbridge/decision/ServerNode.java
+++ b/src/main/java/cairnbridge/decision/ServerNode.java
@@ -206,8 +206,8 @@
     }
 
     /**
-     * Updates the share of open points from the node's speed and its slow start warmth, both from 0
-     * to 1.
+     * Updates the share of the node's capacity that is certainly available, from 0 to 1: its speed
+     * times its slow start warmth.
      */
     private void updateOpenShare() {
         openShare = speed * context.slowStart.warmth(this);
--- a/src/main/java/cairnbridge/decision/Settings.java
+++ b/src/main/java/cairnbridge/decision/Settings.java
@@ -61,7 +61,7 @@
     public record SlowStart(
             double initialShare, long duration, double overloadMultiple, long overloadWindow) {}
 
-    /** What a proxy may do towards servers and other proxies. */
+    /** What a proxy may send to servers and other proxies for one request. */
     public record Attempts(
             int maxAttempts,
             boolean mayHedge,
--- a/src/main/java/cairnbridge/decision/TimeBudget.java
+++ b/src/main/java/cairnbridge/decision/TimeBudget.java
@@ -19,7 +19,10 @@
     /** The part of each limit that is reserved for a busy process and for delivering the change. */
     public static final long NOTIFIED_SLACK_MILLIS = NOTIFIED_MILLIS / 6;
 
-    /** The interval at which a call is checked; silence is detected at most this much late. */
+    /**
+     * The interval at which a call to discovery is checked; silence is detected at most this much
+     * late.
+     */
     public static final long CHECK_INTERVAL_MILLIS = NOTIFIED_MILLIS / 60;
 
     /**
@@ -29,15 +32,15 @@
     public static final long WATCH_SILENCE_MILLIS = HEARTBEAT_MILLIS * 7 / 4;
 
     /**
-     * The time after which a call that has returned nothing is aborted, even if its connection is
-     * not established.
+     * The time after which a call to discovery that has returned nothing is aborted, even if its
+     * connection is not established.
      */
     public static final long CALL_TIMEOUT_MILLIS =
             NOTIFIED_MILLIS - NOTIFIED_SLACK_MILLIS - WATCH_SILENCE_MILLIS - CHECK_INTERVAL_MILLIS;
 
     /**
-     * The maximum delay between a call that hangs while discovery recovers and the call that
-     * fetches the change.
+     * The maximum delay between a call to discovery that hangs while discovery recovers and the
+     * call that fetches the change.
      */
     public static final long MAX_RETRY_WAIT_MILLIS =
             NOTIFIED_MILLIS
@@ -46,12 +49,12 @@
                     - CHECK_INTERVAL_MILLIS;
 
     /**
-     * The maximum delay between two calls, including jitter. It is half of the retry delay, so that
-     * one more call may fail immediately after the recovery.
+     * The maximum delay between two calls to discovery, including jitter. It is half of the retry
+     * delay, so that one more call may fail immediately after the recovery.
      */
     public static final long MAX_BACKOFF_MILLIS = MAX_RETRY_WAIT_MILLIS / 2;
 
-    /** The delay after the first failed call. */
+    /** The delay after the first failed call to discovery. */
     public static final long MIN_BACKOFF_MILLIS = 50;
 
     /**
--- a/src/test/java/cairnbridge/decision/FakeHost.java
+++ b/src/test/java/cairnbridge/decision/FakeHost.java
@@ -155,8 +155,8 @@
     }
 
     /**
-     * Adds a node and removes it again. The reference to its id is cleared once the router has
-     * released the id.
+     * Adds a node and removes it again. The returned reference is cleared once nothing refers to
+     * the node's id any more.
      */
     WeakReference<Object> addAndRemoveNode(long node) {
         Endpoint ready = endpoint(node, NodeState.READY, 0);
--- a/src/test/java/cairnbridge/decision/RouterTest.java
+++ b/src/test/java/cairnbridge/decision/RouterTest.java
@@ -538,8 +538,9 @@
     }
 
     /**
-     * Guards against a fleet whose caches have all restarted, for example after a power loss, so
-     * that no warm cache defines the rate of which cold caches get a share.
+     * Guards against cold caches that get no requests because all caches have restarted, for
+     * example after a power loss, so that there is no warm cache whose rate they could get a share
+     * of.
      */
     @Test
     void coldCachesGetAShareOfTheRecordedWarmRateWhenNoCacheIsWarm() {
