--- a/src/main/java/cairnbridge/decision/Event.java
+++ b/src/main/java/cairnbridge/decision/Event.java
@@ -102,8 +102,8 @@
     record ShutdownScheduled(long deadline) implements Event {}
 
     /**
-     * The scope of an endpoint list event. The adapter's protocol sends the ordinal, so the order
-     * of the constants must not change.
+     * The scope of an endpoint list event. The adapter's protocol transfers the ordinal, so the
+     * order of the constants must not change.
      */
     enum ListScope {
         /** The full list as it was last known, before discovery has sent a current one. */
@@ -117,8 +117,8 @@
     }
 
     /**
-     * The state of a server in the endpoint list. The adapter's protocol sends the ordinal, so the
-     * order of the constants must not change.
+     * The state of a server in the endpoint list. The adapter's protocol transfers the ordinal, so
+     * the order of the constants must not change.
      */
     enum NodeState {
         /** Removed from service. */
--- a/src/main/java/cairnbridge/decision/FleetLatency.java
+++ b/src/main/java/cairnbridge/decision/FleetLatency.java
@@ -6,8 +6,8 @@
 
 /**
  * Latency estimates over all caches, from their load reports: the typical latency of a request, and
- * the work of a request on each machine kind. Work is averaged by kind, because a proxy sees few
- * reports of a single node.
+ * by machine kind the work of a request, which is its duration on an idle machine. Work is averaged
+ * by kind, because a proxy sees few reports of a single node.
  */
 final class FleetLatency {
     private static final double LATENCY_SAMPLES = 16;
--- a/src/main/java/cairnbridge/decision/ServerNode.java
+++ b/src/main/java/cairnbridge/decision/ServerNode.java
@@ -18,7 +18,7 @@
      */
     private static final int MIN_CAP = 2;
 
-    /** The factor by which a cache's load may exceed the average, minus 1. */
+    /** The fraction by which a cache's load may exceed the average load. */
     private static final double MAX_EXCESS_LOAD = 0.6;
 
     /** A node whose accepted share is below this counts as avoided. */
--- a/src/main/java/cairnbridge/decision/TimeBudget.java
+++ b/src/main/java/cairnbridge/decision/TimeBudget.java
@@ -72,7 +72,7 @@
      */
     public static final long LONGEST_TTL_MILLIS = 3000;
 
-    /** The minimum time between the end of the longest TTL and SIGKILL. */
+    /** The minimum time from the end of the longest TTL, counted from SIGTERM, to SIGKILL. */
     public static final long KILL_MARGIN_MILLIS = 700;
 
     /** The part of {@link #KILL_MARGIN_MILLIS} reserved for delivering the last answers. */
--- a/src/test/java/cairnbridge/decision/RecordedRouter.java
+++ b/src/test/java/cairnbridge/decision/RecordedRouter.java
@@ -171,7 +171,9 @@
                         arrival.isWrite));
     }
 
-    /** Reports the end of an attempt, which may have ended before or may never have existed. */
+    /**
+     * Reports the end of an attempt. The attempt may already have ended or may never have existed.
+     */
     void attemptEnded(AttemptEnd end) {
         SentAttempt attempt = end.attempt;
         host.attemptEnded(attempt);
