--- a/src/main/java/cairnbridge/decision/Host.java
+++ b/src/main/java/cairnbridge/decision/Host.java
@@ -24,7 +24,7 @@
 
     /**
      * Sends the final answer: the request is rejected and a repeat is harmless. A retry-after of 0
-     * advises no delay.
+     * contains no advice.
      */
     void rejectRetryable(RequestId request, long retryAfter);
 
--- a/src/test/java/cairnbridge/decision/SlowStartSumTest.java
+++ b/src/test/java/cairnbridge/decision/SlowStartSumTest.java
@@ -58,7 +58,7 @@
 
     /**
      * Runs fleets of the configured size, and fleets whose configured number of proxies is too high
-     * or too low.
+     * or too low. The columns are the numbers of live, configured and restarted proxies.
      */
     @ParameterizedTest
     @CsvSource({
@@ -70,21 +70,17 @@
         "60, 20, 5",
         "100, 100, 30"
     })
-    void allProxiesTogetherKeepAColdCacheWithinItsBudget(
-            int liveProxies, int configuredProxies, int restartedProxies) {
-        int totalRequests = 0;
-        int totalColdAttempts = 0;
+    void allProxiesTogetherKeepAColdCacheWithinItsBudget(int live, int configured, int restarted) {
+        int total = 0;
+        int coldTotal = 0;
         for (long seed = 1; seed <= 8; seed++) {
             RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
             List<SimulatedProxy> fleet = new ArrayList<>();
-            for (int i = 0; i < liveProxies; i++) {
+            for (int i = 0; i < live; i++) {
                 // Some proxies get several times the mean request rate.
                 double rate =
-                        400.0
-                                / liveProxies
-                                * (0.4 + 1.2 * random.nextDouble())
-                                * (i % 9 == 0 ? 3 : 0.75);
-                fleet.add(new SimulatedProxy(host(configuredProxies, seed * 1000 + i), rate));
+                        400.0 / live * (0.4 + 1.2 * random.nextDouble()) * (i % 9 == 0 ? 3 : 0.75);
+                fleet.add(new SimulatedProxy(host(configured, seed * 1000 + i), rate));
             }
             long start = fleet.get(0).host.clock;
             long joinedAt = start + TIME_BEFORE_JOIN;
@@ -92,12 +88,12 @@
             List<Long> coldAttemptTimes = new ArrayList<>();
             int warmAttempts = 0;
             for (long now = start; now < joinedAt + TIME_AFTER_JOIN; now += STEP) {
-                for (int i = 0; i < liveProxies; i++) {
+                for (int i = 0; i < live; i++) {
                     SimulatedProxy proxy = fleet.get(i);
                     if (now == joinedAt) {
                         proxy.host.changeEndpoints(endpoint(COLD_CACHE, NodeState.READY, joinedAt));
-                    } else if (i < restartedProxies && now == joinedAt + (1 + i % 5) * SECOND) {
-                        proxy.host = host(configuredProxies, seed * 7000 + i);
+                    } else if (i < restarted && now == joinedAt + (1 + i % 5) * SECOND) {
+                        proxy.host = host(configured, seed * 7000 + i);
                         proxy.host.clock = now;
                         proxy.host.changeEndpoints(endpoint(COLD_CACHE, NodeState.READY, joinedAt));
                         proxy.openAttempts.clear();
@@ -105,9 +101,7 @@
                     }
                     proxy.host.advance(now - proxy.host.clock);
                     endDueAttempts(proxy, now);
-                    for (double expectedRequests = proxy.requestRate / 100;
-                            expectedRequests > random.nextDouble();
-                            expectedRequests--) {
+                    for (double due = proxy.requestRate / 100; due > random.nextDouble(); due--) {
                         proxy.host.request(++id, random.nextLong(5000), SECOND);
                     }
                     for (; proxy.attemptsSeen < proxy.host.attempts.size(); proxy.attemptsSeen++) {
@@ -121,8 +115,8 @@
                     }
                 }
             }
-            totalColdAttempts += coldAttemptTimes.size();
-            totalRequests = (int) (totalRequests + id);
+            coldTotal += coldAttemptTimes.size();
+            total = (int) (total + id);
             double rate =
                     (double) warmAttempts
                             / CACHES
@@ -130,20 +124,12 @@
             assertWithinBudget(coldAttemptTimes, joinedAt, rate, "seed " + seed);
         }
         assertTrue(
-                totalColdAttempts > totalRequests / 200,
-                "the cold cache gets too few requests to warm up: "
-                        + totalColdAttempts
-                        + " of "
-                        + totalRequests);
+                coldTotal > total / 200,
+                "the cold cache gets too few requests: " + coldTotal + " of " + total);
     }
 
-    private static FakeHost host(int configuredProxies, long seed) {
-        return new FakeHost(
-                        Effect.IDEMPOTENT,
-                        DeduplicationScope.ALL_NODES,
-                        true,
-                        configuredProxies,
-                        seed)
+    private static FakeHost host(int configured, long seed) {
+        return new FakeHost(Effect.IDEMPOTENT, DeduplicationScope.ALL_NODES, true, configured, seed)
                 .listCaches(CACHES);
     }
 
