--- a/src/main/java/cairnbridge/recovery/CategoryPriorities.java
+++ b/src/main/java/cairnbridge/recovery/CategoryPriorities.java
@@ -9,18 +9,18 @@
     private static final double LOWEST_SHARE = 0.5;
 
     private final double[] limitShares;
-    private final boolean[] highest;
+    private final boolean[] isHighest;
 
     CategoryPriorities(List<Category> categories) {
         List<Double> benefits =
                 categories.stream().map(Category::priorityWeight).distinct().sorted().toList();
         int top = benefits.size() - 1;
         limitShares = new double[categories.size()];
-        highest = new boolean[categories.size()];
+        isHighest = new boolean[categories.size()];
         for (int i = 0; i < limitShares.length; i++) {
             int rank = benefits.indexOf(categories.get(i).priorityWeight());
             limitShares[i] = top == 0 ? 1 : LOWEST_SHARE + (1 - LOWEST_SHARE) * rank / top;
-            highest[i] = top > 0 && rank == top;
+            isHighest[i] = top > 0 && rank == top;
         }
     }
 
@@ -31,6 +31,6 @@
 
     /** Whether a category has the highest benefit of several. */
     boolean isHighest(int category) {
-        return highest[category];
+        return isHighest[category];
     }
 }
--- a/src/main/java/cairnbridge/recovery/EndpointListQuorum.java
+++ b/src/main/java/cairnbridge/recovery/EndpointListConfirmation.java
@@ -9,10 +9,10 @@
  * Whether the endpoint list in use is confirmed: discovery has sent one that is no older than what
  * was known, a member that kept its state has no newer one, or a majority of members has none.
  */
-final class EndpointListQuorum {
+final class EndpointListConfirmation {
     private final long staleTimeout;
     private final int expectedMembers;
-    private long floor;
+    private long versionFloor;
     private long version;
     private long staleSince;
     private boolean fromDiscovery;
@@ -27,8 +27,8 @@
      * @param expectedMembers the members of the whole fleet
      * @param staleTimeout after this long an older list of discovery's is used
      */
-    EndpointListQuorum(long floor, int expectedMembers, long staleTimeout) {
-        this.floor = floor;
+    EndpointListConfirmation(long floor, int expectedMembers, long staleTimeout) {
+        this.versionFloor = floor;
         this.expectedMembers = expectedMembers;
         this.staleTimeout = staleTimeout;
     }
@@ -41,7 +41,7 @@
 
     /** Discovery has sent a list; returns whether it is to be used. */
     boolean listReceived(long newVersion, long now) {
-        if (newVersion < floor && !staleAccepted) {
+        if (newVersion < versionFloor && !staleAccepted) {
             if (!discoveryIsStale) {
                 discoveryIsStale = true;
                 staleSince = now;
@@ -71,7 +71,7 @@
             confirm("a majority");
         }
         if (!isConfirmed()) {
-            floor = Math.max(floor, Math.max(newestOfFullState, majorityVersion));
+            versionFloor = Math.max(versionFloor, Math.max(newestOfFullState, majorityVersion));
         }
     }
 
@@ -112,7 +112,7 @@
      * Whether an older list of discovery's is to be used from now on; true once. Guards against a
      * discovery that was restored from long ago, or counts anew, whose list would never be used.
      */
-    boolean acceptsStaleNow(long now) {
+    boolean acceptStaleIfDue(long now) {
         if (!discoveryIsStale || staleAccepted || now - staleSince < staleTimeout) {
             return false;
         }
@@ -129,8 +129,8 @@
     }
 
     /** Lists of discovery's below this version are not used. */
-    long floor() {
-        return staleAccepted ? 0 : floor;
+    long versionFloor() {
+        return staleAccepted ? 0 : versionFloor;
     }
 
     /** As operators read it. */
--- a/src/main/java/cairnbridge/recovery/EndpointListHistory.java
+++ b/src/main/java/cairnbridge/recovery/EndpointListHistory.java
@@ -15,7 +15,7 @@
 public final class EndpointListHistory {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String VERSION = "rev";
-    private static final String WHOLE = "all";
+    private static final String IS_WHOLE_LIST = "all";
     private static final String TARGETS = "targets";
     private static final String ID = "uid";
     private static final String STATE = "state";
@@ -27,7 +27,7 @@
     private long version;
 
     /** The whole list, made when it is first needed after a change. */
-    private String text = "";
+    private String encodedList = "";
 
     /** Applies a line; one that cannot be read, or an empty whole list, changes nothing. */
     public synchronized void lineReceived(String line) {
@@ -38,7 +38,7 @@
             return;
         }
         JsonNode changed = root.path(TARGETS);
-        if (root.path(WHOLE).asBoolean() && !changed.isEmpty()) {
+        if (root.path(IS_WHOLE_LIST).asBoolean() && !changed.isEmpty()) {
             targets.clear();
         }
         for (JsonNode target : changed) {
@@ -50,7 +50,7 @@
             }
         }
         version = root.path(VERSION).asLong(version);
-        text = "";
+        encodedList = "";
     }
 
     /** The version of the list, 0 while there is none. */
@@ -60,13 +60,14 @@
 
     /** The whole list, empty while there is none. */
     public synchronized String endpointList() {
-        if (text.isEmpty() && !targets.isEmpty()) {
-            ObjectNode root = JSON.createObjectNode().put(VERSION, version).put(WHOLE, true);
+        if (encodedList.isEmpty() && !targets.isEmpty()) {
+            ObjectNode root =
+                    JSON.createObjectNode().put(VERSION, version).put(IS_WHOLE_LIST, true);
             ArrayNode all = root.putArray(TARGETS);
             targets.values().forEach(all::add);
-            text = root.toString();
+            encodedList = root.toString();
         }
-        return text;
+        return encodedList;
     }
 
     /**
--- a/src/main/java/cairnbridge/recovery/IncomingRequest.java
+++ b/src/main/java/cairnbridge/recovery/IncomingRequest.java
@@ -7,22 +7,22 @@
 /**
  * A new request, as far as recovery looks at it.
  *
- * @param request its id
+ * @param id its id
  * @param category its class
  * @param key what it is about; null if it names nothing
- * @param write whether it writes
- * @param repeat whether the client marks it as a retry
- * @param expires when the client stops waiting
+ * @param isWrite whether it writes
+ * @param isRetry whether the client marks it as a retry
+ * @param deadline when the client stops waiting
  */
 public record IncomingRequest(
-        RequestId request,
+        RequestId id,
         CategoryId category,
         KeyId key,
-        boolean write,
-        boolean repeat,
-        long expires) {
+        boolean isWrite,
+        boolean isRetry,
+        long deadline) {
     /** Whether it reads a key. */
     boolean isKeyedRead() {
-        return !write && key != null;
+        return !isWrite && key != null;
     }
 }
--- a/src/main/java/cairnbridge/recovery/KeyAdmission.java
+++ b/src/main/java/cairnbridge/recovery/KeyAdmission.java
@@ -17,12 +17,12 @@
  * generations of keys the older one is forgotten.
  */
 final class KeyAdmission {
-    private static final int GENERATION_SIZE = 32_768;
+    private static final int MAX_KEYS_PER_SET = 32_768;
 
     private final String self;
     private List<String> zoneMembers;
     private Set<KeyId> cached = new HashSet<>();
-    private Set<KeyId> cachedBefore = new HashSet<>();
+    private Set<KeyId> olderCached = new HashSet<>();
 
     /** Keys that this member fetches, and by how many requests. */
     private final Map<KeyId, Integer> fetches = new HashMap<>();
@@ -30,7 +30,7 @@
     /** When a key that another member fetches was first requested here. */
     private Map<KeyId, Long> requestedAt = new HashMap<>();
 
-    private Map<KeyId, Long> requestedBefore = new HashMap<>();
+    private Map<KeyId, Long> olderRequestedAt = new HashMap<>();
 
     KeyAdmission(String self) {
         this.self = self;
@@ -43,7 +43,7 @@
     }
 
     boolean isCached(KeyId key) {
-        return cached.contains(key) || cachedBefore.contains(key);
+        return cached.contains(key) || olderCached.contains(key);
     }
 
     boolean isBeingFetched(KeyId key) {
@@ -55,17 +55,17 @@
         if (fetcherOf(key).equals(self)) {
             return false;
         }
-        Long since = requestedAt.getOrDefault(key, requestedBefore.get(key));
+        Long since = requestedAt.getOrDefault(key, olderRequestedAt.get(key));
         if (since == null) {
-            noteRequest(key, now);
+            recordRequest(key, now);
             return true;
         }
         return now - since < fetchDuration;
     }
 
-    private void noteRequest(KeyId key, long now) {
-        if (requestedAt.size() >= GENERATION_SIZE) {
-            requestedBefore = requestedAt;
+    private void recordRequest(KeyId key, long now) {
+        if (requestedAt.size() >= MAX_KEYS_PER_SET) {
+            olderRequestedAt = requestedAt;
             requestedAt = new HashMap<>();
         }
         requestedAt.put(key, now);
@@ -87,13 +87,13 @@
     void fetchEnded(KeyId key, boolean succeeded) {
         fetches.computeIfPresent(key, (same, count) -> count > 1 ? count - 1 : null);
         if (succeeded) {
-            noteCached(key);
+            recordCached(key);
         }
     }
 
-    private void noteCached(KeyId key) {
-        if (cached.size() >= GENERATION_SIZE) {
-            cachedBefore = cached;
+    private void recordCached(KeyId key) {
+        if (cached.size() >= MAX_KEYS_PER_SET) {
+            olderCached = cached;
             cached = new HashSet<>();
         }
         cached.add(key);
--- a/src/main/java/cairnbridge/recovery/RecoveryAdmission.java
+++ b/src/main/java/cairnbridge/recovery/RecoveryAdmission.java
@@ -17,7 +17,7 @@
     private static final long MAX_RETRY_AFTER = 2 * Ticks.SECOND;
 
     /** For requests that come before their kind is served. */
-    private static final long EARLY_RETRY_AFTER = Ticks.SECOND / 2;
+    private static final long NOT_YET_SERVED_RETRY_AFTER = Ticks.SECOND / 2;
 
     /** How long a fetch takes while that is not known. */
     private static final long DEFAULT_FETCH_LATENCY = 20 * Ticks.MILLISECOND;
@@ -40,30 +40,30 @@
     private final List<Category> categories;
     private final CategoryPriorities priorities;
     private final KeyAdmission keys;
-    private final OriginRateRamp originRamp;
+    private final OriginConcurrencyLimit originLimit;
     private final RandomGenerator random;
     private final Map<RequestId, AdmittedRequest> inFlight = new HashMap<>();
     private long failedAsUnknown;
     private long rejected;
     private int requestsInPhase;
-    private long heldBackAt;
+    private long throttledAt;
     private double recentRejections;
-    private long rejectedAt;
+    private long rejectionsUpdatedAt;
 
     RecoveryAdmission(
             List<Category> categories,
             String member,
-            OriginRateRamp originRamp,
+            OriginConcurrencyLimit originRamp,
             RandomGenerator random) {
         this.categories = categories;
-        this.originRamp = originRamp;
+        this.originLimit = originRamp;
         this.random = random;
         priorities = new CategoryPriorities(categories);
         keys = new KeyAdmission(member);
     }
 
     void phaseBegan(long now) {
-        heldBackAt = now;
+        throttledAt = now;
         requestsInPhase = 0;
     }
 
@@ -77,8 +77,8 @@
     }
 
     /** Whether nothing was held back for the origin's sake for this long. */
-    boolean isCalm(long duration, long now) {
-        return now - heldBackAt >= duration;
+    boolean isUnthrottledFor(long duration, long now) {
+        return now - throttledAt >= duration;
     }
 
     long failedAsUnknown() {
@@ -99,23 +99,23 @@
         int category = request.category().value();
         boolean onlyOnce = categories.get(category).effect() != Effect.IDEMPOTENT;
         if (onlyOnce && !listConfirmed) {
-            return reject(Reason.ENDPOINT_LIST_UNCONFIRMED, EARLY_RETRY_AFTER, now);
+            return reject(Reason.ENDPOINT_LIST_UNCONFIRMED, NOT_YET_SERVED_RETRY_AFTER, now);
         }
         if (phase == RecoveryPhase.SERVE_ALL) {
             return AdmissionDecision.ADMIT;
         }
         requestsInPhase++;
-        boolean servedFirst = request.write() || onlyOnce || priorities.isHighest(category);
+        boolean servedFirst = request.isWrite() || onlyOnce || priorities.isHighest(category);
         boolean served =
                 servedFirst
                         ? phase.compareTo(RecoveryPhase.SERVE_WRITES) >= 0
                         : phase.compareTo(RecoveryPhase.SERVE_READS) >= 0;
         return served
-                ? admitWithinLimit(request, now)
-                : reject(Reason.NOT_YET_SERVED, EARLY_RETRY_AFTER, now);
+                ? admitWithinOriginLimit(request, now)
+                : reject(Reason.NOT_YET_SERVED, NOT_YET_SERVED_RETRY_AFTER, now);
     }
 
-    private AdmissionDecision admitWithinLimit(IncomingRequest request, long now) {
+    private AdmissionDecision admitWithinOriginLimit(IncomingRequest request, long now) {
         boolean read = request.isKeyedRead();
         if (read && keys.isCached(request.key())) {
             return AdmissionDecision.ADMIT;
@@ -125,12 +125,12 @@
             return reject(Reason.KEY_BEING_FETCHED, fetchDuration, now);
         }
         double share = priorities.limitShare(request.category().value());
-        if (inFlight.size() >= Math.max(1, originRamp.limit() * share)) {
+        if (inFlight.size() >= Math.max(1, originLimit.limit() * share)) {
             // The more requests come that cannot be admitted, the later each is to come back.
-            double crowd = 1 + recentRejections / Math.max(1, originRamp.limit());
+            double crowd = 1 + recentRejections / Math.max(1, originLimit.limit());
             return reject(Reason.ORIGIN_LIMIT, (long) (fetchDuration * crowd), now);
         }
-        inFlight.put(request.request(), new AdmittedRequest(read ? request.key() : null));
+        inFlight.put(request.id(), new AdmittedRequest(read ? request.key() : null));
         if (read) {
             keys.fetchStarted(request.key());
         }
@@ -138,7 +138,7 @@
     }
 
     private long fetchLatency() {
-        long known = originRamp.bestLatency();
+        long known = originLimit.bestLatency();
         return known == 0 ? DEFAULT_FETCH_LATENCY : known;
     }
 
@@ -153,10 +153,10 @@
     private AdmissionDecision reject(Reason reason, long delay, long now) {
         rejected++;
         if (reason == Reason.ORIGIN_LIMIT) {
-            heldBackAt = now;
-            double halvings = (now - rejectedAt) / REJECTION_HALF_LIFE;
+            throttledAt = now;
+            double halvings = (now - rejectionsUpdatedAt) / REJECTION_HALF_LIFE;
             recentRejections = recentRejections * Math.pow(0.5, halvings) + 1;
-            rejectedAt = now;
+            rejectionsUpdatedAt = now;
         }
         long bounded = Math.min(MAX_RETRY_AFTER, Math.max(MIN_RETRY_AFTER, delay));
         return AdmissionDecision.reject(reason, bounded / 2 + random.nextLong(bounded));
--- a/src/main/java/cairnbridge/recovery/RecoveryCoordinator.java
+++ b/src/main/java/cairnbridge/recovery/RecoveryCoordinator.java
@@ -26,13 +26,13 @@
     private static final long REQUEST_INTERVAL = Ticks.SECOND / 2;
 
     /** Writes are served alone for this long. */
-    private static final long WRITES_ALONE = Ticks.SECOND / 4;
+    private static final long WRITES_ONLY_TIME = Ticks.SECOND / 4;
 
     /** Recovery is over once nothing was held back for so long, ... */
-    private static final long CALM = 2 * Ticks.SECOND;
+    private static final long UNTHROTTLED_TIME = 2 * Ticks.SECOND;
 
     /** ... while this many requests came. */
-    private static final int CALM_REQUESTS = 50;
+    private static final int MIN_UNTHROTTLED_REQUESTS = 50;
 
     private static final long NEVER = Long.MIN_VALUE / 2;
 
@@ -53,7 +53,7 @@
             boolean mayProbe,
             String member,
             String zone) {
-        private long shortestObjective() {
+        private long shortestLatencyObjective() {
             return categories.stream().mapToLong(Category::latencyObjective).min().orElse(0);
         }
     }
@@ -62,19 +62,19 @@
     private final RecoveryHost host;
     private final Deployment deployment;
     private final int expectedMembers;
-    private final EndpointListQuorum endpointList;
+    private final EndpointListConfirmation endpointList;
     private final UnknownOutcomes unknownOutcomes;
     private final NodeStartTimes nodes;
-    private final OriginRateRamp originRamp;
+    private final OriginConcurrencyLimit originLimit;
     private final RecoveryAdmission admission;
     private final long startedAt;
     private RecoveryPhase phase = RecoveryPhase.AWAIT_MEMBERS;
     private Optional<FleetSnapshot> fleet = Optional.empty();
     private boolean persistedListUsed;
-    private boolean fleetKeptPower;
+    private boolean fleetHasFullState;
     private boolean originAnswered;
     private long phaseSince;
-    private long requestedAt = NEVER;
+    private long listRequestedAt = NEVER;
     private long probedAt = NEVER;
 
     /** Recovery that begins now. */
@@ -90,19 +90,19 @@
         this.deployment = deployment;
         expectedMembers = Math.max(restored.livePeers() + 1, deployment.proxies());
         endpointList =
-                new EndpointListQuorum(
+                new EndpointListConfirmation(
                         restored.endpointList().version(),
                         expectedMembers,
                         settings.quorumTimeout());
         unknownOutcomes = new UnknownOutcomes(now);
         nodes = new NodeStartTimes(deployment.originKind());
-        originRamp =
-                new OriginRateRamp(
+        originLimit =
+                new OriginConcurrencyLimit(
                         settings.initialOriginLimit() / Math.max(1, expectedMembers),
-                        deployment.shortestObjective() / 2);
+                        deployment.shortestLatencyObjective() / 2);
         admission =
                 new RecoveryAdmission(
-                        deployment.categories(), deployment.member(), originRamp, random);
+                        deployment.categories(), deployment.member(), originLimit, random);
         startedAt = now;
         phaseSince = now;
         admission.phaseBegan(now);
@@ -114,18 +114,18 @@
     public void fleetChanged(FleetSnapshot snapshot, long now) {
         fleet = Optional.of(snapshot);
         endpointList.fleetChanged(snapshot);
-        admission.zoneMembersChanged(servingInZone(snapshot));
+        admission.zoneMembersChanged(servingMembersOfZone(snapshot));
         List<Integer> limits =
                 snapshot.peers().stream()
                         .filter(FleetSnapshot.Peer::isRecovering)
                         .map(FleetSnapshot.Peer::originLimit)
                         .toList();
         long readsSince = phase == RecoveryPhase.SERVE_READS ? now - phaseSince : 0;
-        originRamp.peersChanged(limits, readsSince);
+        originLimit.peersChanged(limits, readsSince);
         advance(now);
     }
 
-    private List<String> servingInZone(FleetSnapshot snapshot) {
+    private List<String> servingMembersOfZone(FleetSnapshot snapshot) {
         List<String> members = new ArrayList<>(List.of(deployment.member()));
         snapshot.peers().stream()
                 .filter(peer -> peer.isServing() && peer.zone().equals(deployment.zone()))
@@ -151,7 +151,7 @@
     /** A list that did not come from discovery is in use. */
     void unconfirmedListUsed(long version, long newestNodeStart, long now) {
         endpointList.unconfirmedListUsed(version);
-        unknownOutcomes.newestNodeStarted(newestNodeStart);
+        unknownOutcomes.setNewestNodeStart(newestNodeStart);
         fleet.ifPresent(endpointList::fleetChanged);
         advance(now);
     }
@@ -159,14 +159,14 @@
     /** Discovery has sent its list. */
     void listReceived(long version, long newestNodeStart, long now) {
         if (endpointList.listReceived(version, now)) {
-            unknownOutcomes.newestNodeStarted(newestNodeStart);
+            unknownOutcomes.setNewestNodeStart(newestNodeStart);
         }
         advance(now);
     }
 
     /** Lists of discovery's below this version are older than what was known before the loss. */
     public long endpointListFloor() {
-        return endpointList.floor();
+        return endpointList.versionFloor();
     }
 
     /** A health check has ended. */
@@ -187,7 +187,7 @@
 
     /** Goes on to further phases if what they waited for has happened. */
     public void advance(long now) {
-        if (endpointList.acceptsStaleNow(now)) {
+        if (endpointList.acceptStaleIfDue(now)) {
             host.log(
                     "recovery: discovery's list is older than the one before the loss and is taken"
                             + " now");
@@ -196,7 +196,7 @@
         RecoveryPhase before;
         do {
             before = phase;
-            step(now);
+            advanceOnce(now);
         } while (phase != before);
         boolean overdue = now - startedAt >= settings.maxDuration();
         if (phase != RecoveryPhase.SERVE_ALL && overdue && endpointList.hasList()) {
@@ -207,19 +207,21 @@
         }
     }
 
-    private void step(long now) {
+    private void advanceOnce(long now) {
         switch (phase) {
             case AWAIT_MEMBERS -> awaitMembers(now);
             case AWAIT_ENDPOINT_LIST -> awaitEndpointList(now);
             case AWAIT_ORIGIN -> awaitOrigin(now);
             case SERVE_WRITES -> {
-                if (now - phaseSince >= WRITES_ALONE) {
+                if (now - phaseSince >= WRITES_ONLY_TIME) {
                     enter(RecoveryPhase.SERVE_READS, "writes had their start", now);
                 }
             }
             case SERVE_READS -> {
-                boolean calm = now - phaseSince >= CALM && admission.isCalm(CALM, now);
-                if (calm && admission.requestsInPhase() >= CALM_REQUESTS) {
+                boolean calm =
+                        now - phaseSince >= UNTHROTTLED_TIME
+                                && admission.isUnthrottledFor(UNTHROTTLED_TIME, now);
+                if (calm && admission.requestsInPhase() >= MIN_UNTHROTTLED_REQUESTS) {
                     enter(RecoveryPhase.SERVE_ALL, "nothing was held back for 2 s", now);
                 }
             }
@@ -236,7 +238,7 @@
                     RecoveryPhase.AWAIT_ENDPOINT_LIST,
                     "a majority of " + expectedMembers + " is in view",
                     now);
-        } else if (hasHalfOfFleetKeptPower()) {
+        } else if (hasHalfOfFleetFullState()) {
             enter(
                     RecoveryPhase.AWAIT_ENDPOINT_LIST,
                     "members that kept their power are in view",
@@ -246,7 +248,7 @@
         }
     }
 
-    private boolean hasHalfOfFleetKeptPower() {
+    private boolean hasHalfOfFleetFullState() {
         return fleet.filter(seen -> 2 * seen.peersWithFullState() >= expectedMembers).isPresent();
     }
 
@@ -259,8 +261,8 @@
         }
         boolean waitedEnough =
                 endpointList.hasList() && now - phaseSince >= settings.quorumTimeout();
-        if (endpointList.isConfirmed() && hasHalfOfFleetKeptPower()) {
-            fleetKeptPower = true;
+        if (endpointList.isConfirmed() && hasHalfOfFleetFullState()) {
+            fleetHasFullState = true;
             enter(RecoveryPhase.SERVE_ALL, "the fleet kept its power", now);
         } else if (endpointList.isConfirmed() || waitedEnough) {
             enter(RecoveryPhase.AWAIT_ORIGIN, "list " + endpointList.status(), now);
@@ -268,12 +270,12 @@
     }
 
     private void requestListIfDue(long now) {
-        if (now - requestedAt < REQUEST_INTERVAL) {
+        if (now - listRequestedAt < REQUEST_INTERVAL) {
             return;
         }
         Optional<String> member = fleet.flatMap(endpointList::memberWithNewerList);
         if (member.isPresent()) {
-            requestedAt = now;
+            listRequestedAt = now;
             host.requestEndpointList(member.get());
         }
     }
@@ -309,8 +311,9 @@
     /** Decides about a new request, before anything else does. */
     public AdmissionDecision admit(IncomingRequest request, long now) {
         Category category = deployment.categories().get(request.category().value());
-        boolean unknown = unknownOutcomes.isUnknown(category, request.repeat(), request.expires());
-        if (!fleetKeptPower && unknown) {
+        boolean unknown =
+                unknownOutcomes.isOutcomeUnknown(category, request.isRetry(), request.deadline());
+        if (!fleetHasFullState && unknown) {
             return admission.failUnknownOutcome();
         }
         return admission.admit(request, phase, endpointList.isConfirmed(), now);
@@ -332,7 +335,7 @@
         }
         if (atOrigin) {
             originAnswered |= succeeded;
-            originRamp.attemptEnded(succeeded, duration, now);
+            originLimit.attemptEnded(succeeded, duration, now);
         }
         if (succeeded) {
             admission.attemptSucceeded(id);
@@ -358,7 +361,7 @@
 
     /** What other members are told: the limit that this proxy has found by itself. */
     public int originLimit() {
-        return originRamp.ownLimit();
+        return originLimit.ownLimit();
     }
 
     /** Whether the endpoint list in use is confirmed. */
@@ -389,9 +392,9 @@
                 "list " + endpointList.status(),
                 "members " + members + " of " + expectedMembers,
                 "pace "
-                        + originRamp.limit()
+                        + originLimit.limit()
                         + " ops on their way to the origin, own "
-                        + originRamp.ownLimit(),
+                        + originLimit.ownLimit(),
                 "turned away "
                         + rejected()
                         + ", not pushed again for a hidden fate "
--- a/src/main/java/cairnbridge/recovery/StateKeeper.java
+++ b/src/main/java/cairnbridge/recovery/StateKeeper.java
@@ -133,7 +133,8 @@
                     new NodeId(node.id()),
                     new WarmStartState.Trust(node.startedAt(), node.acceptedShare()));
         }
-        return new WarmStartState(trust.learntAt(), trust.originLatency(), trust.sendRate(), nodes);
+        return new WarmStartState(
+                trust.recordedAt(), trust.originLatency(), trust.sendRate(), nodes);
     }
 
     /** What was learnt about nodes, in the form in which it is persisted. */
--- a/src/main/java/cairnbridge/recovery/StateValidator.java
+++ b/src/main/java/cairnbridge/recovery/StateValidator.java
@@ -42,11 +42,11 @@
     /** What of a state is used. */
     public RestoredState validate(PersistedState state) {
         if (!state.cluster().equals(cluster)) {
-            return nothing(state.cluster());
+            return ofOtherCluster(state.cluster());
         }
         List<String> report = new ArrayList<>();
         reportLogged(state.logged(), report);
-        Optional<String> unusable = reasonAgainst(state.content());
+        Optional<String> unusable = rejectionReason(state.content());
         if (unusable.isPresent()) {
             report.add("list, members, trust in nodes: not used, " + unusable.get());
             return restored(state.logged(), EndpointList.NONE, List.of(), 0, false, report);
@@ -54,7 +54,7 @@
         return validateContent(state, report);
     }
 
-    private static RestoredState nothing(String otherCluster) {
+    private static RestoredState ofOtherCluster(String otherCluster) {
         String line = "nothing is used, the state is of cluster '" + otherCluster + "'";
         return restored(LoggedState.EMPTY, EndpointList.NONE, List.of(), 0, false, List.of(line));
     }
@@ -85,7 +85,7 @@
     }
 
     /** Why a snapshot's content is not used; empty if it is. */
-    private Optional<String> reasonAgainst(PersistedState.Content content) {
+    private Optional<String> rejectionReason(PersistedState.Content content) {
         if (content.writtenAtMillis() == 0) {
             return Optional.of("there is no snapshot");
         }
--- a/src/main/java/cairnbridge/recovery/UnknownOutcomes.java
+++ b/src/main/java/cairnbridge/recovery/UnknownOutcomes.java
@@ -24,12 +24,12 @@
      * Sets when the last of the cache nodes started: their deduplication marks from before that may
      * be lost.
      */
-    void newestNodeStarted(long at) {
+    void setNewestNodeStart(long at) {
         newestNodeStart = at;
     }
 
     /** Whether the first attempt of a request may have run. */
-    boolean isUnknown(Category category, boolean repeat, long expires) {
+    boolean isOutcomeUnknown(Category category, boolean repeat, long expires) {
         long firstSentAt = expires - category.ttl();
         if (!repeat || firstSentAt >= startedAt) {
             return false;
--- a/src/main/java/cairnbridge/store/PersistedState.java
+++ b/src/main/java/cairnbridge/store/PersistedState.java
@@ -73,7 +73,7 @@
             return new ArrayList<>(nodes);
         }
 
-        private LoggedState withPlanEpochAtLeast(long epoch) {
+        private LoggedState withMinPlanEpoch(long epoch) {
             return new LoggedState(
                     sequence, generation, Math.max(planEpoch, epoch), nodesInMaintenance);
         }
@@ -105,7 +105,7 @@
             peers = List.copyOf(peers);
         }
 
-        private boolean isSameBesidesTime(Content other) {
+        private boolean equalsIgnoringTime(Content other) {
             return endpointList.equals(other.endpointList)
                     && peers.equals(other.peers)
                     && nodeTrust.nodes.equals(other.nodeTrust.nodes)
@@ -144,7 +144,7 @@
      * @param nodes how far each node was trusted
      */
     public record NodeTrust(
-            long learntAt, double originLatency, double sendRate, List<Node> nodes) {
+            long recordedAt, double originLatency, double sendRate, List<Node> nodes) {
         /** Nothing was learnt. */
         public static final NodeTrust NONE = new NodeTrust(0, 0, 0, List.of());
 
@@ -180,7 +180,7 @@
         NodeTrust trust = content.nodeTrust;
         NodeTrust shiftedTrust =
                 new NodeTrust(
-                        trust.learntAt + Ticks.fromMillis(millis),
+                        trust.recordedAt + Ticks.fromMillis(millis),
                         trust.originLatency,
                         trust.sendRate,
                         trust.nodes);
@@ -201,8 +201,8 @@
     }
 
     /** This content with what log records have changed in another state. */
-    PersistedState withLogOf(PersistedState other) {
-        LoggedState merged = other.logged.withPlanEpochAtLeast(logged.planEpoch);
+    PersistedState withLoggedStateOf(PersistedState other) {
+        LoggedState merged = other.logged.withMinPlanEpoch(logged.planEpoch);
         return new PersistedState(other.cluster, merged, content);
     }
 
@@ -210,6 +210,6 @@
     boolean hasSameContentAs(PersistedState other) {
         return logged.planEpoch == other.logged.planEpoch
                 && logged.nodesInMaintenance.equals(other.logged.nodesInMaintenance)
-                && content.isSameBesidesTime(other.content);
+                && content.equalsIgnoringTime(other.content);
     }
 }
--- a/src/main/java/cairnbridge/store/PersistedStateCodec.java
+++ b/src/main/java/cairnbridge/store/PersistedStateCodec.java
@@ -66,7 +66,7 @@
                     content.peers().stream().map(PeerDocument::of).toList(),
                     logged.planEpoch(),
                     content.encodedPlan(),
-                    trust.learntAt(),
+                    trust.recordedAt(),
                     trust.originLatency(),
                     trust.sendRate(),
                     trust.nodes().stream().map(NodeDocument::of).toList(),
--- a/src/main/java/cairnbridge/store/StateStore.java
+++ b/src/main/java/cairnbridge/store/StateStore.java
@@ -24,12 +24,12 @@
 public final class StateStore {
     private static final String THREAD = "store";
     private static final int MAX_PENDING_CHANGES = 1_024;
-    private static final long SLOW_NANOS = TimeUnit.SECONDS.toNanos(1);
+    private static final long SLOW_OPERATION_NANOS = TimeUnit.SECONDS.toNanos(1);
     private static final long RETRY_MILLIS = 1_000;
     private static final long STOP_MILLIS = 1_500;
 
     /** Changes are waited for this part of the snapshot interval. */
-    private static final int WAITS_PER_INTERVAL = 4;
+    private static final int POLLS_PER_INTERVAL = 4;
 
     private record PendingChange(WriteAheadLog.Change change, CompletableFuture<Boolean> done) {}
 
@@ -44,14 +44,14 @@
     private volatile Supplier<Optional<PersistedState>> snapshotSource = Optional::empty;
 
     /** When the operation that the disk has not finished began; 0 if there is none. */
-    private volatile long operationSince;
+    private volatile long operationStartedAt;
 
     private volatile boolean stopped;
     private volatile boolean slow;
     private volatile boolean failing;
 
     // The rest belongs to the store's thread.
-    private boolean ready;
+    private boolean logOpened;
     private Optional<PersistedState> lastSnapshot = Optional.empty();
     private long snapshotAtMillis;
 
@@ -110,8 +110,8 @@
 
     /** Logs once that the disk is slow; to be called now and then. */
     public void checkDisk() {
-        long since = operationSince;
-        if (since != 0 && System.nanoTime() - since > SLOW_NANOS && !slow) {
+        long since = operationStartedAt;
+        if (since != 0 && System.nanoTime() - since > SLOW_OPERATION_NANOS && !slow) {
             slow = true;
             metrics.countFault();
             log.accept(
@@ -144,23 +144,23 @@
     }
 
     /** Runs an operation; false if it failed. */
-    private boolean attempt(DiskOperation operation) {
+    private boolean runOperation(DiskOperation operation) {
         long start = System.nanoTime();
-        operationSince = start;
+        operationStartedAt = start;
         try {
             operation.run();
-            noteSuccess();
+            recordSuccess();
             return true;
         } catch (IOException e) {
-            noteFailure(e);
+            recordFailure(e);
             return false;
         } finally {
-            operationSince = 0;
+            operationStartedAt = 0;
             metrics.countOperation(System.nanoTime() - start);
         }
     }
 
-    private void noteSuccess() {
+    private void recordSuccess() {
         if (failing || slow) {
             failing = false;
             slow = false;
@@ -168,7 +168,7 @@
         }
     }
 
-    private void noteFailure(IOException fault) {
+    private void recordFailure(IOException fault) {
         metrics.countFault();
         if (!failing) {
             failing = true;
@@ -179,7 +179,7 @@
     private void run() {
         while (!stopped) {
             try {
-                turn();
+                runOnce();
             } catch (InterruptedException e) {
                 break; // The end: what is pending is stored below.
             } catch (RuntimeException e) {
@@ -194,23 +194,23 @@
         // Guards against the interrupt that ended the wait: it would close the files under the last
         // writes.
         Thread.interrupted();
-        if (ready) {
+        if (logOpened) {
             appendPending(new ArrayList<>());
             writeSnapshot();
         }
         rejectPending();
     }
 
-    private void turn() throws InterruptedException {
-        if (!ready) {
-            ready = attempt(this::open);
-            if (!ready) {
+    private void runOnce() throws InterruptedException {
+        if (!logOpened) {
+            logOpened = runOperation(this::open);
+            if (!logOpened) {
                 rejectPending();
                 Thread.sleep(RETRY_MILLIS);
                 return;
             }
         }
-        long waitMillis = settings.snapshotIntervalMillis() / WAITS_PER_INTERVAL + 1;
+        long waitMillis = settings.snapshotIntervalMillis() / POLLS_PER_INTERVAL + 1;
         PendingChange first = pending.poll(waitMillis, TimeUnit.MILLISECONDS);
         if (first != null) {
             List<PendingChange> batch = new ArrayList<>();
@@ -239,7 +239,7 @@
             return;
         }
         List<WriteAheadLog.Change> changes = batch.stream().map(PendingChange::change).toList();
-        boolean stored = attempt(() -> writeAheadLog.append(changes));
+        boolean stored = runOperation(() -> writeAheadLog.append(changes));
         if (stored) {
             metrics.countRecords(batch.size());
         }
@@ -263,7 +263,7 @@
         if (state.isEmpty() || lastSnapshot.filter(state.get()::hasSameContentAs).isPresent()) {
             return;
         }
-        if (attempt(() -> writeAheadLog.writeSnapshot(state.get()))) {
+        if (runOperation(() -> writeAheadLog.writeSnapshot(state.get()))) {
             lastSnapshot = state;
             metrics.countSnapshot(writeAheadLog.snapshotBytes());
         }
--- a/src/main/java/cairnbridge/store/WriteAheadLog.java
+++ b/src/main/java/cairnbridge/store/WriteAheadLog.java
@@ -24,7 +24,7 @@
     private static final Pattern FILE_NAME = Pattern.compile("(snapshot|log)-([0-9]{1,18})");
 
     /** Older snapshots are deleted, with the logs before the oldest one that is kept. */
-    private static final int KEPT_SNAPSHOTS = 2;
+    private static final int RETAINED_SNAPSHOTS = 2;
 
     /**
      * What was read from the directory.
@@ -74,8 +74,8 @@
         List<String> faults = new ArrayList<>();
         List<NumberedFile> snapshots = newestFirst(SNAPSHOT_PREFIX);
         List<NumberedFile> logs = newestFirst(LOG_PREFIX);
-        snapshots.forEach(this::noteNumber);
-        logs.forEach(this::noteNumber);
+        snapshots.forEach(this::updateFileNumber);
+        logs.forEach(this::updateFileNumber);
         state = latestSnapshot(snapshots, faults).orElse(state);
         for (int i = logs.size() - 1; i >= 0; i--) {
             replay(logs.get(i).name(), faults);
@@ -84,7 +84,7 @@
         return new Contents(state, faults);
     }
 
-    private void noteNumber(NumberedFile file) {
+    private void updateFileNumber(NumberedFile file) {
         fileNumber = Math.max(fileNumber, file.number());
     }
 
@@ -188,7 +188,7 @@
     /** Writes a snapshot that includes all records so far, and deletes what it replaces. */
     public void writeSnapshot(PersistedState content) throws IOException {
         currentLog = Optional.empty(); // Records from now on belong to a newer log.
-        PersistedState next = content.withLogOf(state);
+        PersistedState next = content.withLoggedStateOf(state);
         byte[] bytes = RecordFrame.encode(PersistedStateCodec.encode(next));
         directory.write(UNFINISHED_SNAPSHOT, bytes);
         directory.sync(UNFINISHED_SNAPSHOT);
@@ -201,11 +201,11 @@
 
     private void deleteReplacedFiles() throws IOException {
         List<NumberedFile> snapshots = newestFirst(SNAPSHOT_PREFIX);
-        if (snapshots.size() < KEPT_SNAPSHOTS) {
+        if (snapshots.size() < RETAINED_SNAPSHOTS) {
             return;
         }
-        long oldestKept = snapshots.get(KEPT_SNAPSHOTS - 1).number();
-        for (NumberedFile file : snapshots.subList(KEPT_SNAPSHOTS, snapshots.size())) {
+        long oldestKept = snapshots.get(RETAINED_SNAPSHOTS - 1).number();
+        for (NumberedFile file : snapshots.subList(RETAINED_SNAPSHOTS, snapshots.size())) {
             directory.delete(file.name());
         }
         for (NumberedFile file : newestFirst(LOG_PREFIX)) {
--- a/src/test/java/cairnbridge/recovery/RecoveryCoordinatorTest.java
+++ b/src/test/java/cairnbridge/recovery/RecoveryCoordinatorTest.java
@@ -439,7 +439,7 @@
                         began + SECOND / 2);
         recovery.unconfirmedListUsed(7, began - 100 * SECOND, now);
         assertEquals(AdmissionDecision.Kind.ADMITTED, recovery.admit(repeat, now).kind());
-        recovery.requestAnswered(repeat.request());
+        recovery.requestAnswered(repeat.id());
         recovery.unconfirmedListUsed(7, began, now);
         assertEquals(
                 AdmissionDecision.Reason.OUTCOME_UNKNOWN, recovery.admit(repeat, now).reason());
--- a/src/test/java/cairnbridge/store/StoreFormatTest.java
+++ b/src/test/java/cairnbridge/store/StoreFormatTest.java
@@ -59,7 +59,7 @@
         assertEquals(state(42).content().peers(), read.content().peers());
         assertEquals(7, read.logged().planEpoch());
         assertArrayEquals(new byte[] {1, 2, 3, -4}, read.content().encodedPlan());
-        assertEquals(17_000_001_234_560L, read.content().nodeTrust().learntAt());
+        assertEquals(17_000_001_234_560L, read.content().nodeTrust().recordedAt());
         assertEquals(123.5, read.content().nodeTrust().originLatency());
         assertEquals(77.25, read.content().nodeTrust().sendRate());
         assertEquals(state(42).content().nodeTrust().nodes(), read.content().nodeTrust().nodes());
