--- a/src/main/java/cairnbridge/store/FileStorageDirectory.java
+++ b/src/main/java/cairnbridge/store/FileStorageDirectory.java
@@ -11,20 +11,23 @@
 import java.util.stream.Stream;
 
 /**
- * A directory of the file system. It is created with its parents when it is first written to. For
- * use by one thread.
+ * A directory on the local file system. The first write creates the directory and its parents. Not
+ * thread-safe.
  */
 public final class FileStorageDirectory implements StorageDirectory {
     private static final long MAX_FILE_BYTES = 64 << 20;
 
     private final Path directory;
 
-    /** The file that was last appended to stays open, as opening costs more than appending. */
+    /**
+     * Name of the file that was last appended to; null if no file is open. The file stays open,
+     * because opening it costs more than an append.
+     */
     private String openName;
 
     private FileChannel openFile;
 
-    /** A directory at this path, which need not exist. */
+    /** Uses the directory at this path, which need not exist yet. */
     public FileStorageDirectory(Path directory) {
         this.directory = directory;
     }
@@ -42,9 +45,9 @@
     @Override
     public byte[] read(String name) throws IOException {
         Path file = directory.resolve(name);
-        // Guards against a pipe or a device of that name, whose reader blocks for ever.
+        // Guards against a pipe or a device of that name: reading it would block forever.
         if (!Files.isRegularFile(file) || Files.size(file) > MAX_FILE_BYTES) {
-            throw new IOException("is no file of a store: " + file);
+            throw new IOException("is not a regular file or is too large: " + file);
         }
         return Files.readAllBytes(file);
     }
--- a/src/main/java/cairnbridge/store/LogRecord.java
+++ b/src/main/java/cairnbridge/store/LogRecord.java
@@ -3,25 +3,26 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * One record of the write-ahead log: a change that must not be lost once it has been announced.
+ * One record of the write-ahead log: a change that must survive a power loss once it has been
+ * acknowledged.
  *
- * @param sequence increases with each record of a directory
- * @param kind what has changed
- * @param value a generation, an epoch or the id of a node
+ * @param sequence the sequence number, which increases with each record of a directory
+ * @param kind what the record changes
+ * @param value the generation, the epoch of the zone plan or the id of the node, by kind
  */
 public record LogRecord(long sequence, Kind kind, @JsonProperty("number") long value) {
-    /** What a record changes; the property names are those in stored files. */
+    /** What a record changes. The property names are part of the stored format. */
     public enum Kind {
-        /** A process run has taken its generation. */
+        /** The process has started with this generation. */
         @JsonProperty("LIFE")
         GENERATION,
-        /** A zone plan has come into force. */
+        /** A zone plan with this epoch has taken effect. */
         @JsonProperty("EPOCH")
         PLAN_EPOCH,
-        /** An operator has taken a node out. */
+        /** An operator has put this node into maintenance. */
         @JsonProperty("HELD")
         MAINTENANCE_ON,
-        /** An operator has put a node back. */
+        /** An operator has ended the maintenance of this node. */
         @JsonProperty("FREED")
         MAINTENANCE_OFF
     }
--- a/src/main/java/cairnbridge/store/PersistedState.java
+++ b/src/main/java/cairnbridge/store/PersistedState.java
@@ -8,33 +8,33 @@
 import java.util.TreeSet;
 
 /**
- * What a store persists of one proxy, at one moment. Immutable; what is not known is empty or 0.
+ * The state of one proxy that survives a power loss. Immutable; unknown values are empty or 0.
  *
- * @param cluster the name of the cluster that it belongs to
- * @param logged what log records change
- * @param content everything else, which only snapshots have
+ * @param cluster the name of the cluster that the proxy belongs to
+ * @param logged the part that log records change
+ * @param content the part that only snapshots contain
  */
 public record PersistedState(String cluster, LoggedState logged, Content content) {
 
     /**
-     * What log records change.
+     * The part of the state that log records change.
      *
-     * @param sequence the last record that is included
-     * @param generation the highest generation that a process run has taken
-     * @param planEpoch the highest epoch of a zone plan that was in force here
-     * @param nodesInMaintenance ids of nodes that operators have taken out
+     * @param sequence the sequence number of the last record that is applied
+     * @param generation the highest generation that a run of this proxy has used
+     * @param planEpoch the highest epoch of a zone plan that was in force at this proxy
+     * @param nodesInMaintenance ids of the nodes that operators have put into maintenance
      */
     public record LoggedState(
             long sequence, long generation, long planEpoch, List<Long> nodesInMaintenance) {
-        /** Nothing is known. */
+        /** The state before the first record. */
         public static final LoggedState EMPTY = new LoggedState(0, 0, 0, List.of());
 
-        /** Copies the list. */
+        /** Makes a defensive copy of the list. */
         public LoggedState {
             nodesInMaintenance = List.copyOf(nodesInMaintenance);
         }
 
-        /** With one record more, unless it is included already. */
+        /** Applies a record; one that is already applied changes nothing. */
         LoggedState with(LogRecord logRecord) {
             if (logRecord.sequence() <= sequence) {
                 return this;
@@ -80,14 +80,14 @@
     }
 
     /**
-     * What only snapshots have.
+     * The part of the state that only snapshots contain.
      *
-     * @param bootId the boot of the machine that wrote it; empty if unknown
-     * @param writtenAtMillis when it was written, Unix time by the machine's clock
-     * @param endpointList the list of nodes
+     * @param bootId the kernel's boot id when the snapshot was written; empty if unknown
+     * @param writtenAtMillis when the snapshot was written: Unix time by the machine's clock
+     * @param endpointList the endpoint list in use
      * @param peers the other members of the fleet
-     * @param encodedPlan the zone plan that was in force, as its codec writes it
-     * @param nodeTrust what was learnt about nodes
+     * @param encodedPlan the zone plan that was in force, encoded by the plan's codec
+     * @param nodeTrust what this proxy had measured of the origin and the cache nodes
      */
     public record Content(
             String bootId,
@@ -96,11 +96,11 @@
             List<Peer> peers,
             byte[] encodedPlan,
             NodeTrust nodeTrust) {
-        /** Nothing is known. */
+        /** The content before the first snapshot. */
         public static final Content EMPTY =
                 new Content("", 0, EndpointList.NONE, List.of(), new byte[0], NodeTrust.NONE);
 
-        /** Copies the list. */
+        /** Makes a defensive copy of the list. */
         public Content {
             peers = List.copyOf(peers);
         }
@@ -114,68 +114,72 @@
     }
 
     /**
-     * A list of nodes.
+     * The endpoint list: the origin and the cache nodes.
      *
-     * @param version discovery's version of it
-     * @param json the list as discovery sends it
+     * @param version the version that discovery gave the list
+     * @param json the list in discovery's JSON format
      */
     public record EndpointList(long version, String json) {
-        /** No list. */
+        /** Stands for a missing list. */
         public static final EndpointList NONE = new EndpointList(0, "");
     }
 
     /**
-     * Another member.
+     * Another member of the fleet, as the membership view showed it.
      *
-     * @param id its name
-     * @param endpoint where it was reached
-     * @param generation the generation of its latest incarnation
-     * @param refutation the refutation of its latest incarnation
-     * @param live whether it was alive or suspect
+     * @param id the name of the member
+     * @param endpoint the host and port of the member's gossip transport
+     * @param generation the generation in its incarnation
+     * @param refutation the refutation counter in its incarnation
+     * @param live whether its status was alive or suspect
      */
     public record Peer(String id, String endpoint, long generation, int refutation, boolean live) {}
 
     /**
-     * What was learnt about nodes.
+     * What this proxy had measured of the origin and the cache nodes. A restarted proxy begins with
+     * these values in place of its defaults.
      *
-     * @param learntAt when, in ticks of Unix time
-     * @param originLatency how long the origin takes, in ticks
+     * @param recordedAt when the values were current, in ticks of Unix time
+     * @param originLatency the latency of a fetch from the origin, in ticks
      * @param sendRate requests a second that this proxy sent to a warm cache node of size one
-     * @param nodes how far each node was trusted
+     * @param nodes the share of requests that each node accepted
      */
     public record NodeTrust(
             long recordedAt, double originLatency, double sendRate, List<Node> nodes) {
-        /** Nothing was learnt. */
+        /** Stands for missing measurements. */
         public static final NodeTrust NONE = new NodeTrust(0, 0, 0, List.of());
 
-        /** Copies the list. */
+        /** Makes a defensive copy of the list. */
         public NodeTrust {
             nodes = List.copyOf(nodes);
         }
     }
 
     /**
-     * How far a node was trusted.
+     * What this proxy had measured of one cache node.
      *
-     * @param id the node
-     * @param startedAt when its process started, as the endpoint list said
-     * @param acceptedShare the part of the requests offered to it that it took
+     * @param id the id of the node
+     * @param startedAt when the node's process started, according to the endpoint list
+     * @param acceptedShare the share of the requests sent to the node that it accepted
      */
     public record Node(long id, long startedAt, double acceptedShare) {}
 
-    /** Checks that nothing is missing. */
+    /** Rejects null. */
     public PersistedState {
         Objects.requireNonNull(cluster);
         Objects.requireNonNull(logged);
         Objects.requireNonNull(content);
     }
 
-    /** Nothing is known. */
+    /** The state of a proxy that has persisted nothing yet. */
     public static PersistedState empty(String cluster) {
         return new PersistedState(cluster, LoggedState.EMPTY, Content.EMPTY);
     }
 
-    /** The same as a machine would have written it whose clock is ahead. */
+    /**
+     * Shifts the timestamps, as if the clock of the machine that wrote the state had been ahead by
+     * this much, or behind if negative.
+     */
     public PersistedState withClockAhead(long millis) {
         NodeTrust trust = content.nodeTrust;
         NodeTrust shiftedTrust =
@@ -195,18 +199,25 @@
         return new PersistedState(cluster, logged, shifted);
     }
 
-    /** With one log record more, unless it is included already. */
+    /** Applies a log record; one that is already applied changes nothing. */
     public PersistedState with(LogRecord logRecord) {
         return new PersistedState(cluster, logged.with(logRecord), content);
     }
 
-    /** This content with what log records have changed in another state. */
+    /**
+     * Combines the content of this state with the logged part of another one. The plan epoch is the
+     * higher one of the two.
+     */
     PersistedState withLoggedStateOf(PersistedState other) {
         LoggedState merged = other.logged.withMinPlanEpoch(logged.planEpoch);
         return new PersistedState(other.cluster, merged, content);
     }
 
-    /** Whether a snapshot of it would be the same, apart from its time. */
+    /**
+     * Whether a snapshot of this state would store nothing new after one of the other state.
+     * Compares the plan epoch, the nodes in maintenance, the endpoint list, the peers, the encoded
+     * plan and the values of each node; ignores the rest, such as timestamps and the generation.
+     */
     boolean hasSameContentAs(PersistedState other) {
         return logged.planEpoch == other.logged.planEpoch
                 && logged.nodesInMaintenance.equals(other.logged.nodesInMaintenance)
--- a/src/main/java/cairnbridge/store/PersistedStateCodec.java
+++ b/src/main/java/cairnbridge/store/PersistedStateCodec.java
@@ -15,11 +15,12 @@
 import java.util.Objects;
 
 /**
- * Stored documents as CBOR (RFC 8949), each with the number of its format. Fields that a newer
- * program added are ignored; a newer format is rejected, as its meaning is not known.
+ * Encodes snapshots and log records as CBOR (RFC 8949), each with a format number. Unknown fields,
+ * which a newer version of the program may have added, are ignored. Any other format number is
+ * rejected, because the meaning of its fields is unknown.
  *
- * <p>The documents in here are the stored form: a flat map whose field names must not change, some
- * of which differ from those in the code.
+ * <p>The nested record classes define the stored format. Their component names are the field names
+ * in the files and must not change; some differ from the names in the rest of the code.
  */
 final class PersistedStateCodec {
     private static final int FORMAT = 1;
@@ -31,7 +32,7 @@
 
     private record SnapshotDocument(int format, @JsonProperty("kept") StateDocument state) {}
 
-    /** A record of the log with the cluster that it belongs to. */
+    /** A log record with the name of the cluster that it belongs to. */
     record RecordDocument(int format, String cluster, @JsonProperty("entry") LogRecord logRecord) {}
 
     private record StateDocument(
@@ -73,7 +74,7 @@
                     logged.nodesInMaintenance());
         }
 
-        /** Fields that are missing are empty. */
+        /** Converts the document; missing fields become empty values. */
         PersistedState toState() {
             List<PeerDocument> knownPeers = Objects.requireNonNullElse(peers, List.of());
             List<NodeDocument> knownNodes = Objects.requireNonNullElse(nodes, List.of());
@@ -130,20 +131,20 @@
         try {
             return CBOR.writeValueAsBytes(document);
         } catch (JsonProcessingException e) {
-            throw new UncheckedIOException(e); // Writes to memory do not fail.
+            throw new UncheckedIOException(e); // Unexpected: writes to memory do not fail.
         }
     }
 
-    /** The state in a snapshot; an IllegalArgumentException if the bytes are none. */
+    /** Decodes a snapshot; throws IllegalArgumentException if the bytes are not a valid one. */
     static PersistedState decodeState(byte[] bytes) {
         SnapshotDocument document = decode(bytes, SnapshotDocument.class);
         if (document.format() != FORMAT || document.state() == null) {
-            throw new IllegalArgumentException("has format " + document.format());
+            throw new IllegalArgumentException("has unsupported format " + document.format());
         }
         return document.state().toState();
     }
 
-    /** The record in the bytes; an IllegalArgumentException if they are none. */
+    /** Decodes a log record; throws IllegalArgumentException if the bytes are not a valid one. */
     static RecordDocument decodeRecord(byte[] bytes) {
         RecordDocument document = decode(bytes, RecordDocument.class);
         LogRecord logRecord = document.logRecord();
@@ -151,7 +152,7 @@
                 || document.cluster() == null
                 || logRecord == null
                 || logRecord.kind() == null) {
-            throw new IllegalArgumentException("is no log record");
+            throw new IllegalArgumentException("contains an invalid log record");
         }
         return document;
     }
@@ -164,8 +165,8 @@
             }
             return value;
         } catch (IOException | RuntimeException e) {
-            // RuntimeException: Jackson throws it for some damaged input.
-            throw new IllegalArgumentException("cannot be read", e);
+            // Jackson throws a RuntimeException for some damaged input.
+            throw new IllegalArgumentException("cannot be decoded", e);
         }
     }
 }
--- a/src/main/java/cairnbridge/store/RecordFrame.java
+++ b/src/main/java/cairnbridge/store/RecordFrame.java
@@ -7,9 +7,8 @@
 import java.util.zip.CRC32C;
 
 /**
- * How records are stored in a file: a magic number, the length, a checksum (CRC-32C, RFC 3720) over
- * the length and the content, and the content. Records that were not written completely are not
- * read.
+ * Frames records in a file. A frame is a magic number, the length of the content, a checksum
+ * (CRC-32C, RFC 3720) over the length and the content, and the content.
  */
 final class RecordFrame {
     private static final int MAGIC = 0x43425331;
@@ -27,7 +26,7 @@
                 .array();
     }
 
-    /** The contents of the records up to the first one that is damaged, in order. */
+    /** Returns the contents of all frames before the first damaged or incomplete one, in order. */
     static List<byte[]> decode(byte[] file) {
         List<byte[]> contents = new ArrayList<>();
         ByteBuffer in = ByteBuffer.wrap(file);
--- a/src/main/java/cairnbridge/store/StateStore.java
+++ b/src/main/java/cairnbridge/store/StateStore.java
@@ -14,12 +14,13 @@
 import java.util.function.Supplier;
 
 /**
- * Persists a proxy's state on a thread of its own, which alone waits for the disk. Start it, use
- * what it has read, then append changes before they are announced and set where snapshots come
- * from. All methods may be called by any thread.
+ * Persists a proxy's state on a dedicated thread, the only one that blocks on disk I/O. {@link
+ * #start} returns the state that was persisted. After that, the caller sets the source of snapshots
+ * with {@link #snapshotFrom} and appends each change before it acknowledges the change to others.
+ * Thread-safe.
  *
- * <p>A disk that is full, read-only or slow is logged once and blocks nobody: the future of a
- * change is then false.
+ * <p>A full, read-only or slow disk blocks no caller and is logged once per outage. The futures of
+ * changes complete with false while writes fail, and later than usual while the disk is slow.
  */
 public final class StateStore {
     private static final String THREAD = "store";
@@ -28,7 +29,7 @@
     private static final long RETRY_MILLIS = 1_000;
     private static final long STOP_MILLIS = 1_500;
 
-    /** Changes are waited for this part of the snapshot interval. */
+    /** How often per snapshot interval the thread checks whether a snapshot is due. */
     private static final int POLLS_PER_INTERVAL = 4;
 
     private record PendingChange(WriteAheadLog.Change change, CompletableFuture<Boolean> done) {}
@@ -43,19 +44,23 @@
     private final Thread thread = new Thread(this::run, THREAD);
     private volatile Supplier<Optional<PersistedState>> snapshotSource = Optional::empty;
 
-    /** When the operation that the disk has not finished began; 0 if there is none. */
+    /** Start of the disk operation in progress, by {@code nanoTime}; 0 if there is none. */
     private volatile long operationStartedAt;
 
     private volatile boolean stopped;
     private volatile boolean slow;
     private volatile boolean failing;
 
-    // The rest belongs to the store's thread.
+    // The remaining fields are used by the store's thread only.
     private boolean logOpened;
     private Optional<PersistedState> lastSnapshot = Optional.empty();
     private long snapshotAtMillis;
 
-    /** A store; the log takes messages for operators from any thread. */
+    /**
+     * Creates a store, which does nothing before {@link #start}.
+     *
+     * @param log receives messages for operators; called by several threads
+     */
     public StateStore(StoreSettings settings, StorageDirectory directory, Consumer<String> log) {
         this.settings = settings;
         this.log = log;
@@ -64,8 +69,8 @@
     }
 
     /**
-     * Starts the thread and returns the state that was persisted; empty if reading takes longer or
-     * fails.
+     * Starts the thread and waits until it has read the persisted state. Empty if this takes longer
+     * than the limit; the thread then goes on reading, see {@link #whenOpened}.
      */
     public Optional<PersistedState> start(long maxMillis) throws InterruptedException {
         thread.start();
@@ -75,29 +80,30 @@
             log.accept(
                     "store: the disk has not answered for "
                             + maxMillis
-                            + " ms, this start goes without it");
+                            + " ms, starting without persisted state");
             return Optional.empty();
         } catch (ExecutionException e) {
             return Optional.empty();
         }
     }
 
-    /** Has a callback run once the state has been read, however late. */
+    /** Runs a callback when the state has been read, even if {@link #start} did not wait for it. */
     public void whenOpened(Consumer<PersistedState> callback) {
         CompletableFuture<Void> unused = opened.thenAccept(callback);
     }
 
     /**
-     * Sets where snapshots come from. It is called on the store's thread, and gives nothing while
-     * there is nothing to persist.
+     * Sets the supplier of snapshots. The store's thread calls it, and writes no snapshot while it
+     * returns empty.
      */
     public void snapshotFrom(Supplier<Optional<PersistedState>> source) {
         snapshotSource = source;
     }
 
     /**
-     * Appends a change, without blocking. The result is true once it survives a power loss, and
-     * false if it cannot be stored.
+     * Appends a change without blocking. The future completes with true once the change survives a
+     * power loss, and with false if the write failed, too many changes are pending or the store is
+     * stopped.
      */
     public CompletableFuture<Boolean> append(LogRecord.Kind kind, long value) {
         CompletableFuture<Boolean> done = new CompletableFuture<>();
@@ -108,7 +114,7 @@
         return done;
     }
 
-    /** Logs once that the disk is slow; to be called now and then. */
+    /** Logs if the current disk operation takes longer than a second; to be called regularly. */
     public void checkDisk() {
         long since = operationStartedAt;
         if (since != 0 && System.nanoTime() - since > SLOW_OPERATION_NANOS && !slow) {
@@ -120,30 +126,33 @@
         }
     }
 
-    /** Whether the disk works. */
+    /** Whether the last disk operation succeeded and the current one is not reported as slow. */
     public boolean isHealthy() {
         return !failing && !slow;
     }
 
-    /** What the store has done. */
+    /** The metrics of this store. */
     public StoreMetrics metrics() {
         return metrics;
     }
 
-    /** Writes a last snapshot, if the disk does it soon, and ends. */
+    /**
+     * Stores pending changes, writes a last snapshot and ends the thread. Returns after a limited
+     * time even if the disk has not finished.
+     */
     public void stop() throws InterruptedException {
         stopped = true;
         thread.interrupt();
         thread.join(STOP_MILLIS);
     }
 
-    // The store's thread.
+    // Methods of the store's thread.
 
     private interface DiskOperation {
         void run() throws IOException;
     }
 
-    /** Runs an operation; false if it failed. */
+    /** Runs a disk operation and records its result and duration; returns false if it failed. */
     private boolean runOperation(DiskOperation operation) {
         long start = System.nanoTime();
         operationStartedAt = start;
@@ -181,9 +190,9 @@
             try {
                 runOnce();
             } catch (InterruptedException e) {
-                break; // The end: what is pending is stored below.
+                break; // stop() was called; finish() stores the pending changes.
             } catch (RuntimeException e) {
-                // A fault of the program must not end what persists its state.
+                // Guards against a bug that ends this thread: nothing would be persisted after it.
                 log.accept("store: " + e);
             }
         }
@@ -191,8 +200,8 @@
     }
 
     private void finish() {
-        // Guards against the interrupt that ended the wait: it would close the files under the last
-        // writes.
+        // Guards against the interrupt with which stop() ended the wait: if it stays set, the file
+        // channels are closed during the last writes.
         Thread.interrupted();
         if (logOpened) {
             appendPending(new ArrayList<>());
@@ -232,7 +241,7 @@
         batch.forEach(each -> each.done().complete(false));
     }
 
-    /** Appends a batch and everything else that is pending, with one wait for the disk. */
+    /** Appends the batch and all other pending changes with a single sync of the disk. */
     private void appendPending(List<PendingChange> batch) {
         pending.drainTo(batch);
         if (batch.isEmpty()) {
--- a/src/main/java/cairnbridge/store/StoreMetrics.java
+++ b/src/main/java/cairnbridge/store/StoreMetrics.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.atomic.LongAccumulator;
 import java.util.concurrent.atomic.LongAdder;
 
-/** Counts what a store does. Any thread may read. */
+/** Counters and timings of a state store. Thread-safe. */
 public final class StoreMetrics {
     private final LongAdder snapshots = new LongAdder();
     private final LongAdder records = new LongAdder();
@@ -34,7 +34,7 @@
         slowestMicros.accumulate(micros);
     }
 
-    /** The values by name; names of counters end in {@code _total}. */
+    /** The metrics by name; names of counters end in {@code _total}. */
     public Map<String, Long> values() {
         Map<String, Long> values = new LinkedHashMap<>();
         values.put("store.snapshots_total", snapshots.sum());
--- a/src/main/java/cairnbridge/store/StoreSettings.java
+++ b/src/main/java/cairnbridge/store/StoreSettings.java
@@ -3,11 +3,11 @@
 import java.nio.file.Path;
 
 /**
- * The settings of a store.
+ * The settings of a state store.
  *
- * @param directory where its files are; it has to survive a power loss
+ * @param directory the directory of the store's files; its file system has to survive a power loss
  * @param cluster the name of the cluster that the state belongs to
- * @param snapshotIntervalMillis snapshots are written at most this often
+ * @param snapshotIntervalMillis the minimum time between two snapshots
  * @param maxSnapshotBytesPerSecond the limit of bytes written in snapshots, averaged over time
  */
 public record StoreSettings(
--- a/src/main/java/cairnbridge/store/WriteAheadLog.java
+++ b/src/main/java/cairnbridge/store/WriteAheadLog.java
@@ -10,12 +10,14 @@
 import java.util.regex.Pattern;
 
 /**
- * The snapshots and logs in one directory, and the order in which they are written. Call {@link
- * #open} once before anything else. For use by one thread, which waits for the disk.
+ * Snapshots and logs of state changes in one directory. Call {@link #open} once before any other
+ * method. Not thread-safe; methods block on the disk.
  *
- * <p>A log begins before the snapshot of its number is written, and the snapshot before that is
- * kept with its log: wherever the power fails, one complete snapshot exists with all records after
- * it. Records are numbered, so that one that is read twice counts once.
+ * <p>Snapshots and logs share one sequence of file numbers. A snapshot ends the current log, so the
+ * records after it are in logs of higher numbers. The two newest snapshots are retained with all
+ * logs after the older one: even if a power loss tears the newest snapshot, the one before it is
+ * complete, and so are the records after it. Records have sequence numbers, so a replay ignores
+ * records that the snapshot already includes.
  */
 public final class WriteAheadLog {
     private static final String SNAPSHOT_PREFIX = "snapshot-";
@@ -23,19 +25,19 @@
     private static final String UNFINISHED_SNAPSHOT = "snapshot.new";
     private static final Pattern FILE_NAME = Pattern.compile("(snapshot|log)-([0-9]{1,18})");
 
-    /** Older snapshots are deleted, with the logs before the oldest one that is kept. */
+    /** Older snapshots are deleted, and so are the logs before the oldest retained snapshot. */
     private static final int RETAINED_SNAPSHOTS = 2;
 
     /**
-     * What was read from the directory.
+     * The result of reading the directory.
      *
-     * @param state the latest state
-     * @param faults what could not be used, one sentence for each file
+     * @param state the newest snapshot with the log records replayed on it
+     * @param faults a message for each file that could not be used, beginning with the file's name
      */
     public record Contents(PersistedState state, List<String> faults) {}
 
     /**
-     * A change to be appended.
+     * A change to append; it becomes a log record with the next sequence number.
      *
      * @param value see {@link LogRecord#value}
      */
@@ -47,18 +49,18 @@
     private final String cluster;
     private PersistedState state;
 
-    /** The number of the newest file. */
+    /** The highest number of a snapshot or log in the directory. */
     private long fileNumber;
 
-    /** The last sequence number that was given to a record, whether or not it was written. */
+    /** The last sequence number given to a record, even if that record could not be written. */
     private long lastSequence;
 
-    /** The log that is appended to; empty if the next record begins one. */
+    /** The name of the log that is appended to; empty if the next append starts a new log. */
     private Optional<String> currentLog = Optional.empty();
 
     private long snapshotBytes;
 
-    /** A log in a directory whose files belong to a cluster. */
+    /** Uses the files of a cluster in a directory; files of other clusters are ignored. */
     public WriteAheadLog(StorageDirectory directory, String cluster) {
         this.directory = directory;
         this.cluster = cluster;
@@ -66,7 +68,7 @@
     }
 
     /**
-     * Reads everything that was written completely.
+     * Reads the newest valid snapshot and replays the complete records of all logs.
      *
      * @throws IOException if the directory itself cannot be read
      */
@@ -145,23 +147,23 @@
         }
     }
 
-    /** The state as it is stored. */
+    /** The state as stored on disk. */
     public PersistedState state() {
         return state;
     }
 
-    /** The size of the last snapshot in bytes. */
+    /** The size in bytes of the last snapshot that was written; 0 before the first one. */
     public long snapshotBytes() {
         return snapshotBytes;
     }
 
-    /** Appends records with one wait for the disk; when it returns they survive a power loss. */
+    /** Appends records with a single sync; they survive a power loss once this method returns. */
     public void append(List<Change> changes) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         PersistedState next = state;
         for (Change change : changes) {
-            // Guards against a record that failed, was stored after all, and hides one of its
-            // number: sequence numbers are never used again.
+            // Guards against two records with one number: a record whose write failed may be on the
+            // disk all the same, and replay would ignore a later one with its number.
             LogRecord logRecord = new LogRecord(++lastSequence, change.kind(), change.value());
             next = next.with(logRecord);
             byte[] encoded = PersistedStateCodec.encode(cluster, logRecord);
@@ -174,8 +176,8 @@
     private void appendToLog(byte[] bytes) throws IOException {
         boolean isNew = currentLog.isEmpty();
         String name = currentLog.orElseGet(() -> LOG_PREFIX + ++fileNumber);
-        // Guards against complete records behind a torn one, which nobody would read: after a
-        // fault another log begins.
+        // Guards against complete records behind a torn one, which a replay would not reach: after
+        // a failed write the next append starts a new log.
         currentLog = Optional.empty();
         directory.append(name, bytes);
         directory.sync(name);
@@ -185,9 +187,9 @@
         currentLog = Optional.of(name);
     }
 
-    /** Writes a snapshot that includes all records so far, and deletes what it replaces. */
+    /** Writes a snapshot that includes all records so far, and deletes the files it replaces. */
     public void writeSnapshot(PersistedState content) throws IOException {
-        currentLog = Optional.empty(); // Records from now on belong to a newer log.
+        currentLog = Optional.empty(); // Later records go to a new log.
         PersistedState next = content.withLoggedStateOf(state);
         byte[] bytes = RecordFrame.encode(PersistedStateCodec.encode(next));
         directory.write(UNFINISHED_SNAPSHOT, bytes);
--- a/src/test/java/cairnbridge/store/StateStoreTest.java
+++ b/src/test/java/cairnbridge/store/StateStoreTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The thread that keeps a proxy's state, beside disks that fail. */
+/** A state store on a working disk, on a full one and on one that hangs. */
 @Timeout(60)
 class StateStoreTest {
     @TempDir Path folder;
@@ -26,19 +26,19 @@
         return new StateStore(new StoreSettings(folder, "c", 50, 1_000_000), disk, log::add);
     }
 
-    /** A disk that can be made to fail or to stand still. */
-    private static final class Faulty implements StorageDirectory {
-        final StorageDirectory disk;
+    /** Delegates to another directory, and can be made to hang or to fail as a full disk does. */
+    private static final class FaultyDirectory implements StorageDirectory {
+        final StorageDirectory delegate;
         volatile boolean full;
-        volatile CountDownLatch gate = new CountDownLatch(0);
+        volatile CountDownLatch releaseLatch = new CountDownLatch(0);
 
-        Faulty(StorageDirectory disk) {
-            this.disk = disk;
+        FaultyDirectory(StorageDirectory delegate) {
+            this.delegate = delegate;
         }
 
-        private void may() throws IOException {
+        private void awaitReleaseAndCheckSpace() throws IOException {
             try {
-                gate.await();
+                releaseLatch.await();
             } catch (InterruptedException e) {
                 throw new IOException("interrupted", e);
             }
@@ -49,53 +49,53 @@
 
         @Override
         public List<String> listFiles() throws IOException {
-            gateOnly();
-            return disk.listFiles();
+            awaitRelease();
+            return delegate.listFiles();
         }
 
-        private void gateOnly() throws IOException {
-            boolean was = full;
+        private void awaitRelease() throws IOException {
+            boolean wasFull = full;
             full = false;
-            may();
-            full = was;
+            awaitReleaseAndCheckSpace();
+            full = wasFull;
         }
 
         @Override
         public byte[] read(String name) throws IOException {
-            return disk.read(name);
+            return delegate.read(name);
         }
 
         @Override
         public void write(String name, byte[] bytes) throws IOException {
-            may();
-            disk.write(name, bytes);
+            awaitReleaseAndCheckSpace();
+            delegate.write(name, bytes);
         }
 
         @Override
         public void append(String name, byte[] bytes) throws IOException {
-            may();
-            disk.append(name, bytes);
+            awaitReleaseAndCheckSpace();
+            delegate.append(name, bytes);
         }
 
         @Override
         public void sync(String name) throws IOException {
-            may();
-            disk.sync(name);
+            awaitReleaseAndCheckSpace();
+            delegate.sync(name);
         }
 
         @Override
         public void rename(String from, String to) throws IOException {
-            disk.rename(from, to);
+            delegate.rename(from, to);
         }
 
         @Override
         public void syncDirectory() throws IOException {
-            disk.syncDirectory();
+            delegate.syncDirectory();
         }
 
         @Override
         public void delete(String name) throws IOException {
-            disk.delete(name);
+            delegate.delete(name);
         }
     }
 
@@ -113,25 +113,26 @@
     }
 
     @Test
-    void whatWasKeptIsThereAtTheNextStart() throws Exception {
+    void persistedStateIsReadAtTheNextStart() throws Exception {
         StateStore store = store(new FileStorageDirectory(folder));
         assertEquals(0, store.start(5_000).orElseThrow().logged().generation());
         store.snapshotFrom(() -> Optional.of(state(4)));
         assertTrue(store.append(LogRecord.Kind.GENERATION, 11).get(5, TimeUnit.SECONDS));
         assertTrue(store.append(LogRecord.Kind.MAINTENANCE_ON, 3).get(5, TimeUnit.SECONDS));
         store.stop();
-        PersistedState kept = store(new FileStorageDirectory(folder)).start(5_000).orElseThrow();
+        PersistedState restored =
+                store(new FileStorageDirectory(folder)).start(5_000).orElseThrow();
         assertEquals(
                 List.of(11L, 4L, 3L),
                 List.of(
-                        kept.logged().generation(),
-                        kept.content().endpointList().version(),
-                        kept.logged().nodesInMaintenance().get(0)));
+                        restored.logged().generation(),
+                        restored.content().endpointList().version(),
+                        restored.logged().nodesInMaintenance().get(0)));
     }
 
     @Test
-    void aFullDiskIsSaidOnceAndOnceThatItKeepsAgain() throws Exception {
-        Faulty disk = new Faulty(new FileStorageDirectory(folder));
+    void aFullDiskIsLoggedOnceAndItsRecoveryOnce() throws Exception {
+        FaultyDirectory disk = new FaultyDirectory(new FileStorageDirectory(folder));
         StateStore store = store(disk);
         store.start(5_000);
         disk.full = true;
@@ -159,30 +160,30 @@
                         .nodesInMaintenance());
     }
 
-    /** Guards against a start, an op or a member of staff that waits as long as a disk does. */
+    /** Guards against a start, a request or an operator's call that blocks while the disk hangs. */
     @Test
-    void aDiskThatStandsStillHoldsNobodyUp() throws Exception {
-        Faulty disk = new Faulty(new FileStorageDirectory(folder));
-        disk.gate = new CountDownLatch(1);
+    void aHangingDiskBlocksNoCaller() throws Exception {
+        FaultyDirectory disk = new FaultyDirectory(new FileStorageDirectory(folder));
+        disk.releaseLatch = new CountDownLatch(1);
         StateStore store = store(disk);
         assertTrue(store.start(100).isEmpty());
-        long from = System.nanoTime();
-        CompletableFuture<Boolean> held = store.append(LogRecord.Kind.MAINTENANCE_ON, 5);
+        long start = System.nanoTime();
+        CompletableFuture<Boolean> stored = store.append(LogRecord.Kind.MAINTENANCE_ON, 5);
         for (int i = 0; i < 3_000; i++) {
             CompletableFuture<Boolean> unused = store.append(LogRecord.Kind.PLAN_EPOCH, i);
         }
-        assertTrue(System.nanoTime() - from < 1_000_000_000L);
-        assertFalse(held.isDone());
+        assertTrue(System.nanoTime() - start < 1_000_000_000L);
+        assertFalse(stored.isDone());
         Thread.sleep(1_100);
         store.checkDisk();
         store.checkDisk();
         assertEquals(
                 1, log.stream().filter(line -> line.contains("has not answered for 1 s")).count());
-        CountDownLatch late = new CountDownLatch(1);
-        store.whenOpened(kept -> late.countDown());
-        disk.gate.countDown();
-        assertTrue(late.await(5, TimeUnit.SECONDS));
-        assertTrue(held.get(5, TimeUnit.SECONDS));
+        CountDownLatch openedLate = new CountDownLatch(1);
+        store.whenOpened(state -> openedLate.countDown());
+        disk.releaseLatch.countDown();
+        assertTrue(openedLate.await(5, TimeUnit.SECONDS));
+        assertTrue(stored.get(5, TimeUnit.SECONDS));
         store.stop();
     }
 }
--- a/src/test/java/cairnbridge/store/StoreFormatTest.java
+++ b/src/test/java/cairnbridge/store/StoreFormatTest.java
@@ -11,7 +11,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A state folder of an earlier version is read, and the same state is written as the same bytes.
+ * Guards against a change of the stored format: files that an earlier version wrote are read, and
+ * the same changes and snapshots are written as the same bytes.
  */
 class StoreFormatTest {
     private static final String[] FILES = {"snapshot-2", "log-3", "snapshot-4", "log-5"};
@@ -41,14 +42,14 @@
     }
 
     @Test
-    void aFolderOfAnEarlierVersionIsRead() throws Exception {
+    void filesOfAnEarlierVersionAreRead() throws Exception {
         Fixtures.copy("store", folder, FILES);
 
-        WriteAheadLog.Contents opened =
+        WriteAheadLog.Contents contents =
                 new WriteAheadLog(new FileStorageDirectory(folder), "fixture-cluster").open();
 
-        assertEquals(List.of(), opened.faults());
-        PersistedState read = opened.state();
+        assertEquals(List.of(), contents.faults());
+        PersistedState read = contents.state();
         assertEquals(42, read.content().endpointList().version());
         assertEquals(
                 state(42).content().endpointList().json(), read.content().endpointList().json());
@@ -68,22 +69,22 @@
 
     @Test
     void theSameStateIsWrittenAsTheSameBytes() throws Exception {
-        WriteAheadLog ledger =
+        WriteAheadLog writeAheadLog =
                 new WriteAheadLog(new FileStorageDirectory(folder), "fixture-cluster");
-        ledger.open();
-        ledger.append(
+        writeAheadLog.open();
+        writeAheadLog.append(
                 List.of(
                         new WriteAheadLog.Change(LogRecord.Kind.GENERATION, 1_700_000_000_001L),
                         new WriteAheadLog.Change(LogRecord.Kind.MAINTENANCE_ON, 0x1fL),
                         new WriteAheadLog.Change(LogRecord.Kind.MAINTENANCE_ON, -42L)));
-        ledger.writeSnapshot(state(41));
-        ledger.append(
+        writeAheadLog.writeSnapshot(state(41));
+        writeAheadLog.append(
                 List.of(
                         new WriteAheadLog.Change(LogRecord.Kind.PLAN_EPOCH, 7L),
                         new WriteAheadLog.Change(LogRecord.Kind.MAINTENANCE_OFF, 0x1fL)));
-        ledger.writeSnapshot(state(42));
-        ledger.append(List.of(new WriteAheadLog.Change(LogRecord.Kind.MAINTENANCE_ON, 99L)));
-        ledger.append(
+        writeAheadLog.writeSnapshot(state(42));
+        writeAheadLog.append(List.of(new WriteAheadLog.Change(LogRecord.Kind.MAINTENANCE_ON, 99L)));
+        writeAheadLog.append(
                 List.of(new WriteAheadLog.Change(LogRecord.Kind.GENERATION, 1_700_000_000_002L)));
 
         for (String name : FILES) {
--- a/src/test/java/cairnbridge/store/WriteAheadLogTest.java
+++ b/src/test/java/cairnbridge/store/WriteAheadLogTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A store's files: what is read back after faults and losses of power. */
+/** Reading snapshots and logs back after torn writes, corruption and power losses. */
 class WriteAheadLogTest {
     @TempDir Path folder;
 
@@ -20,7 +20,7 @@
         return new WriteAheadLog(new FileStorageDirectory(folder), "c").open();
     }
 
-    private static PersistedState list(long version) {
+    private static PersistedState stateWithList(long version) {
         return new PersistedState(
                 "c",
                 new PersistedState.LoggedState(0, 0, 0, List.of()),
@@ -34,30 +34,30 @@
     }
 
     @Test
-    void whatWasReadBackWasWrittenWholeWhereverThePowerWent() {
+    void onlyCompleteWritesAreReadBackAfterAPowerLossAtAnyPoint() {
         for (long seed = 1; seed <= 4_000; seed++) {
             StoreRuns.lossOfPower(seed);
         }
     }
 
     @Test
-    void anyBytesGiveAStateOrARefusal() {
+    void corruptFilesGiveAStateOrAFault() {
         for (long seed = 1; seed <= 1_500; seed++) {
             StoreRuns.rot(seed);
         }
     }
 
     @Test
-    void aSnapshotTornAtAnyByteLeavesTheOneBeforeAndItsEntries() throws Exception {
-        WriteAheadLog ledger = new WriteAheadLog(new FileStorageDirectory(folder), "c");
-        ledger.open();
-        ledger.append(
+    void aSnapshotTornAtAnyByteLeavesThePreviousOneAndTheLogRecords() throws Exception {
+        WriteAheadLog writeAheadLog = new WriteAheadLog(new FileStorageDirectory(folder), "c");
+        writeAheadLog.open();
+        writeAheadLog.append(
                 List.of(
                         new WriteAheadLog.Change(LogRecord.Kind.GENERATION, 7L),
                         new WriteAheadLog.Change(LogRecord.Kind.MAINTENANCE_ON, 3L)));
-        ledger.writeSnapshot(list(1));
-        ledger.append(List.of(new WriteAheadLog.Change(LogRecord.Kind.PLAN_EPOCH, 9L)));
-        ledger.writeSnapshot(list(2));
+        writeAheadLog.writeSnapshot(stateWithList(1));
+        writeAheadLog.append(List.of(new WriteAheadLog.Change(LogRecord.Kind.PLAN_EPOCH, 9L)));
+        writeAheadLog.writeSnapshot(stateWithList(2));
         Path newest;
         try (var files = Files.list(folder)) {
             newest =
@@ -65,18 +65,18 @@
                             .max((a, b) -> Integer.compare(number(a), number(b)))
                             .orElseThrow();
         }
-        byte[] whole = Files.readAllBytes(newest);
+        byte[] complete = Files.readAllBytes(newest);
         assertEquals(2, open().state().content().endpointList().version());
-        for (int length = 0; length < whole.length; length++) {
-            Files.write(newest, Arrays.copyOf(whole, length));
-            PersistedState kept = open().state();
-            assertEquals(1, kept.content().endpointList().version(), "torn at " + length);
+        for (int length = 0; length < complete.length; length++) {
+            Files.write(newest, Arrays.copyOf(complete, length));
+            PersistedState restored = open().state();
+            assertEquals(1, restored.content().endpointList().version(), "torn at " + length);
             assertEquals(
                     List.of(7L, 9L, 1L),
                     List.of(
-                            kept.logged().generation(),
-                            kept.logged().planEpoch(),
-                            (long) kept.logged().nodesInMaintenance().size()));
+                            restored.logged().generation(),
+                            restored.logged().planEpoch(),
+                            (long) restored.logged().nodesInMaintenance().size()));
         }
     }
 
@@ -85,43 +85,44 @@
     }
 
     @Test
-    void anEntryTornAtAnyByteHidesNoneThatCameBefore() throws Exception {
-        WriteAheadLog ledger = new WriteAheadLog(new FileStorageDirectory(folder), "c");
-        ledger.open();
-        ledger.append(List.of(new WriteAheadLog.Change(LogRecord.Kind.MAINTENANCE_ON, 1L)));
+    void aLogRecordTornAtAnyByteHidesNoEarlierRecord() throws Exception {
+        WriteAheadLog writeAheadLog = new WriteAheadLog(new FileStorageDirectory(folder), "c");
+        writeAheadLog.open();
+        writeAheadLog.append(List.of(new WriteAheadLog.Change(LogRecord.Kind.MAINTENANCE_ON, 1L)));
         Path log = folder.resolve("log-1");
-        int before = Files.readAllBytes(log).length;
-        ledger.append(List.of(new WriteAheadLog.Change(LogRecord.Kind.MAINTENANCE_ON, 2L)));
-        byte[] whole = Files.readAllBytes(log);
-        for (int length = before; length < whole.length; length++) {
-            Files.write(log, Arrays.copyOf(whole, length));
+        int lengthOfFirst = Files.readAllBytes(log).length;
+        writeAheadLog.append(List.of(new WriteAheadLog.Change(LogRecord.Kind.MAINTENANCE_ON, 2L)));
+        byte[] complete = Files.readAllBytes(log);
+        for (int length = lengthOfFirst; length < complete.length; length++) {
+            Files.write(log, Arrays.copyOf(complete, length));
             assertEquals(
                     List.of(1L), open().state().logged().nodesInMaintenance(), "torn at " + length);
         }
     }
 
     @Test
-    void filesOfAnotherClusterSayNothing() throws Exception {
+    void filesOfAnotherClusterAreIgnored() throws Exception {
         WriteAheadLog other = new WriteAheadLog(new FileStorageDirectory(folder), "other");
         other.open();
         other.append(List.of(new WriteAheadLog.Change(LogRecord.Kind.MAINTENANCE_ON, 1L)));
-        other.writeSnapshot(list(4));
-        WriteAheadLog.Contents mine = open();
-        assertEquals(0, mine.state().content().endpointList().version());
-        assertEquals(List.of(), mine.state().logged().nodesInMaintenance());
+        other.writeSnapshot(stateWithList(4));
+        WriteAheadLog.Contents contents = open();
+        assertEquals(0, contents.state().content().endpointList().version());
+        assertEquals(List.of(), contents.state().logged().nodesInMaintenance());
         assertTrue(
-                mine.faults().toString().contains("is of cluster 'other'"),
-                mine.faults().toString());
+                contents.faults().toString().contains("is of cluster 'other'"),
+                contents.faults().toString());
     }
 
-    /** Guards against files that grow for as long as a proxy runs. */
+    /** Guards against files that pile up for as long as a proxy runs. */
     @Test
-    void twoSnapshotsAndTheirLogsStay() throws Exception {
-        WriteAheadLog ledger = new WriteAheadLog(new FileStorageDirectory(folder), "c");
-        ledger.open();
+    void onlyTwoSnapshotsAndTheLogsAfterThemAreRetained() throws Exception {
+        WriteAheadLog writeAheadLog = new WriteAheadLog(new FileStorageDirectory(folder), "c");
+        writeAheadLog.open();
         for (int i = 1; i <= 20; i++) {
-            ledger.append(List.of(new WriteAheadLog.Change(LogRecord.Kind.PLAN_EPOCH, (long) i)));
-            ledger.writeSnapshot(list(i));
+            writeAheadLog.append(
+                    List.of(new WriteAheadLog.Change(LogRecord.Kind.PLAN_EPOCH, (long) i)));
+            writeAheadLog.writeSnapshot(stateWithList(i));
         }
         try (var files = Files.list(folder)) {
             assertEquals(3, files.count());
