--- a/src/main/java/cairnbridge/recovery/AdmissionDecision.java
+++ b/src/main/java/cairnbridge/recovery/AdmissionDecision.java
@@ -1,42 +1,44 @@
 package cairnbridge.recovery;
 
 /**
- * What becomes of a new request during recovery.
+ * The decision about a new request during recovery.
  *
- * @param retryAfter when a client that is rejected should come back
+ * @param kind whether the request is handled, rejected or failed
+ * @param reason why the request is not admitted
+ * @param retryAfter the delay, in ticks, after which the client of a rejected request should retry
  */
 public record AdmissionDecision(Kind kind, Reason reason, long retryAfter) {
-    /** The request is handled as usual. */
+    /** Admits a request. */
     public static final AdmissionDecision ADMIT =
             new AdmissionDecision(Kind.ADMITTED, Reason.NONE, 0);
 
-    /** A retry whose first attempt may have run. */
+    /** Fails a retry whose first attempt may have run. */
     static final AdmissionDecision FAIL_UNKNOWN_OUTCOME =
             new AdmissionDecision(Kind.FAILED, Reason.OUTCOME_UNKNOWN, 0);
 
-    /** How a request is answered. */
+    /** How a request is handled. */
     public enum Kind {
-        /** It is handled as usual. */
+        /** The request is routed as usual. */
         ADMITTED,
-        /** It is rejected; a retry is harmless. */
+        /** The request is rejected and has had no effect, so the client may retry it. */
         REJECTED,
-        /** It is failed; nothing is promised about its effects. */
+        /** The request is failed, and an earlier attempt of it may have taken effect. */
         FAILED
     }
 
     /** Why a request is not admitted. */
     public enum Reason {
-        /** It is admitted. */
+        /** The request is admitted. */
         NONE,
-        /** Requests of its kind are not served in this phase. */
+        /** The current phase does not serve requests of this kind. */
         NOT_YET_SERVED,
-        /** It must not run twice, and the endpoint list is not confirmed. */
+        /** The request must not run twice, and the endpoint list is not confirmed. */
         ENDPOINT_LIST_UNCONFIRMED,
-        /** The origin takes no more at present. */
+        /** The limit of requests in flight to the origin is reached. */
         ORIGIN_LIMIT,
-        /** Another request fetches its key. */
+        /** Another request, here or at another member of the zone, fetches the key. */
         KEY_BEING_FETCHED,
-        /** It is a retry, and the outcome of its first attempt was lost. */
+        /** The request is a retry, and the outcome of its first attempt is unknown. */
         OUTCOME_UNKNOWN
     }
 
--- a/src/main/java/cairnbridge/recovery/CategoryPriorities.java
+++ b/src/main/java/cairnbridge/recovery/CategoryPriorities.java
@@ -3,33 +3,33 @@
 import cairnbridge.decision.Settings.Category;
 import java.util.List;
 
-/** The order of categories by their benefit, and how much of a limit each may take up. */
+/** Ranks the classes of requests by priority weight, and divides limits between them by rank. */
 final class CategoryPriorities {
-    /** The share of a limit that the category of the least benefit may take up. */
+    /** The share of a limit that the class of the lowest priority may use. */
     private static final double LOWEST_SHARE = 0.5;
 
     private final double[] limitShares;
     private final boolean[] isHighest;
 
     CategoryPriorities(List<Category> categories) {
-        List<Double> benefits =
+        List<Double> weights =
                 categories.stream().map(Category::priorityWeight).distinct().sorted().toList();
-        int top = benefits.size() - 1;
+        int topRank = weights.size() - 1;
         limitShares = new double[categories.size()];
         isHighest = new boolean[categories.size()];
         for (int i = 0; i < limitShares.length; i++) {
-            int rank = benefits.indexOf(categories.get(i).priorityWeight());
-            limitShares[i] = top == 0 ? 1 : LOWEST_SHARE + (1 - LOWEST_SHARE) * rank / top;
-            isHighest[i] = top > 0 && rank == top;
+            int rank = weights.indexOf(categories.get(i).priorityWeight());
+            limitShares[i] = topRank == 0 ? 1 : LOWEST_SHARE + (1 - LOWEST_SHARE) * rank / topRank;
+            isHighest[i] = topRank > 0 && rank == topRank;
         }
     }
 
-    /** The share of a limit that requests of a category may take up. */
+    /** The share of a limit that requests of a class may use together. */
     double limitShare(int category) {
         return limitShares[category];
     }
 
-    /** Whether a category has the highest benefit of several. */
+    /** Whether a class has the highest priority; false if all classes have the same priority. */
     boolean isHighest(int category) {
         return isHighest[category];
     }
--- a/src/main/java/cairnbridge/recovery/EndpointListConfirmation.java
+++ b/src/main/java/cairnbridge/recovery/EndpointListConfirmation.java
@@ -6,8 +6,9 @@
 import java.util.Optional;
 
 /**
- * Whether the endpoint list in use is confirmed: discovery has sent one that is no older than what
- * was known, a member that kept its state has no newer one, or a majority of members has none.
+ * Tracks whether the endpoint list in use is confirmed, that is, recent enough for requests that
+ * must not run twice. A list is confirmed if discovery has sent it and no newer one was known
+ * before, if no member with its full state has a newer one, or if a majority of the fleet has none.
  */
 final class EndpointListConfirmation {
     private final long staleTimeout;
@@ -21,25 +22,25 @@
     private Optional<String> confirmedBy = Optional.empty();
 
     /**
-     * Nothing is confirmed at first.
+     * Starts without a list.
      *
-     * @param floor the version that was known before the power loss
-     * @param expectedMembers the members of the whole fleet
-     * @param staleTimeout after this long an older list of discovery's is used
+     * @param versionFloor the version of the list that was in use before the power loss
+     * @param expectedMembers the number of members of the whole fleet, including this one
+     * @param staleTimeout after this long a list from discovery is used even if it is older
      */
-    EndpointListConfirmation(long floor, int expectedMembers, long staleTimeout) {
-        this.versionFloor = floor;
+    EndpointListConfirmation(long versionFloor, int expectedMembers, long staleTimeout) {
+        this.versionFloor = versionFloor;
         this.expectedMembers = expectedMembers;
         this.staleTimeout = staleTimeout;
     }
 
-    /** A list that did not come from discovery is in use. */
+    /** Notes that a list is in use that did not come from discovery. */
     void unconfirmedListUsed(long newVersion) {
         version = newVersion;
         fromDiscovery = false;
     }
 
-    /** Discovery has sent a list; returns whether it is to be used. */
+    /** Notes a list that discovery has sent; returns whether it is to be used. */
     boolean listReceived(long newVersion, long now) {
         if (newVersion < versionFloor && !staleAccepted) {
             if (!discoveryIsStale) {
@@ -61,7 +62,7 @@
         }
     }
 
-    /** Compares the list with those of other members. */
+    /** Compares the list in use with the lists of other members. */
     void fleetChanged(FleetSnapshot fleet) {
         long newestOfFullState = newestOfFullState(fleet);
         long majorityVersion = majorityVersion(fleet);
@@ -83,7 +84,7 @@
                 .orElse(-1);
     }
 
-    /** The newest version that a majority of the fleet has at least; 0 without a majority. */
+    /** The highest version that a majority of the fleet has reached; 0 without a majority. */
     private long majorityVersion(FleetSnapshot fleet) {
         List<Long> versions = new ArrayList<>();
         versions.add(version);
@@ -93,7 +94,7 @@
         return versions.size() >= majority ? versions.get(majority - 1) : 0;
     }
 
-    /** The member to request a list from, if one has a newer one. */
+    /** The member to request a newer list from; empty if there is none or none is needed. */
     Optional<String> memberWithNewerList(FleetSnapshot fleet) {
         if (isConfirmed()) {
             return Optional.empty();
@@ -109,8 +110,9 @@
     }
 
     /**
-     * Whether an older list of discovery's is to be used from now on; true once. Guards against a
-     * discovery that was restored from long ago, or counts anew, whose list would never be used.
+     * Returns true once, as soon as discovery has sent only older lists for the timeout; older
+     * lists are used from then on. Guards against a discovery service that was restored from an old
+     * backup, or counts versions from the start again: its lists would never be used.
      */
     boolean acceptStaleIfDue(long now) {
         if (!discoveryIsStale || staleAccepted || now - staleSince < staleTimeout) {
@@ -128,12 +130,12 @@
         return confirmedBy.isPresent();
     }
 
-    /** Lists of discovery's below this version are not used. */
+    /** Lists from discovery below this version are not used. */
     long versionFloor() {
         return staleAccepted ? 0 : versionFloor;
     }
 
-    /** As operators read it. */
+    /** The status of the list in log lines and in the answer of the admin call {@code recovery}. */
     String status() {
         if (confirmedBy.isPresent()) {
             return "version " + version + ", confirmed by " + confirmedBy.get();
--- a/src/main/java/cairnbridge/recovery/EndpointListHistory.java
+++ b/src/main/java/cairnbridge/recovery/EndpointListHistory.java
@@ -9,8 +9,8 @@
 import java.util.TreeMap;
 
 /**
- * Puts the lines of a discovery watch together to one whole endpoint list, in discovery's own form
- * (JSON), so that it can be persisted and passed on to members. Any thread may call it.
+ * Assembles the lines of a discovery watch into one whole endpoint list in discovery's JSON format,
+ * so that the list can be persisted and sent to other members. Thread-safe.
  */
 public final class EndpointListHistory {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -22,14 +22,17 @@
     private static final String GONE = "Gone";
     private static final String STARTED_MILLIS = "boot_ms";
 
-    // All guarded by this object's lock.
+    // The fields below are guarded by this object's lock.
     private final Map<String, JsonNode> targets = new TreeMap<>();
     private long version;
 
-    /** The whole list, made when it is first needed after a change. */
+    /** The whole list as JSON; empty from a change until the list is next requested. */
     private String encodedList = "";
 
-    /** Applies a line; one that cannot be read, or an empty whole list, changes nothing. */
+    /**
+     * Applies a whole list or a change. A line that cannot be parsed is ignored, and a whole list
+     * without targets removes none.
+     */
     public synchronized void lineReceived(String line) {
         JsonNode root;
         try {
@@ -53,12 +56,12 @@
         encodedList = "";
     }
 
-    /** The version of the list, 0 while there is none. */
+    /** The version of the list; 0 before the first line. */
     public synchronized long version() {
         return version;
     }
 
-    /** The whole list, empty while there is none. */
+    /** The whole list as JSON; empty while it has no targets. */
     public synchronized String endpointList() {
         if (encodedList.isEmpty() && !targets.isEmpty()) {
             ObjectNode root =
@@ -71,8 +74,8 @@
     }
 
     /**
-     * A list in which all nodes have just started: those of a persisted list may have lost their
-     * power as well.
+     * Sets the start time of all nodes in a list. Guards against treating the caches of a persisted
+     * list as warm: their nodes may have lost power as well.
      */
     public static String withStartTimes(String list, long unixMillis) {
         try {
--- a/src/main/java/cairnbridge/recovery/FleetSnapshot.java
+++ b/src/main/java/cairnbridge/recovery/FleetSnapshot.java
@@ -8,17 +8,17 @@
 import java.util.Optional;
 
 /**
- * What a proxy sees of its fleet.
+ * The other members of a proxy's fleet, at one point in time.
  *
- * @param peers the live members but this one
+ * @param peers the other live members whose metadata is known
  */
 public record FleetSnapshot(List<Peer> peers) {
-    /** Copies the list. */
+    /** Makes a defensive copy of the list. */
     public FleetSnapshot {
         peers = List.copyOf(peers);
     }
 
-    /** What a view holds. */
+    /** Takes the other live members from a membership view. */
     public static FleetSnapshot of(MembershipView view) {
         List<Peer> peers = new ArrayList<>();
         for (MemberState member : view.liveMembers()) {
@@ -29,25 +29,25 @@
         return new FleetSnapshot(peers);
     }
 
-    /** How many members there are, this one included. */
+    /** The number of live members, including this one. */
     int size() {
         return peers.size() + 1;
     }
 
-    /** How many of the others have not lost their state, or have it again. */
+    /** How many of the other members serve and are not recovering. */
     long peersWithFullState() {
         return peers.stream().filter(Peer::hasFullState).count();
     }
 
     /**
-     * One of the other members.
+     * Another member, as described by its metadata.
      *
-     * @param id its name
-     * @param zone its zone
-     * @param phase its phase of recovery; empty if it does not recover from anything
-     * @param isServing whether it takes requests
-     * @param originLimit how many requests to the origin it allows in flight
-     * @param endpointListVersion the version of the endpoint list that it uses
+     * @param id the name of the member
+     * @param zone the zone of the member
+     * @param phase the member's recovery phase; empty if the member is not recovering
+     * @param isServing whether the member has started and is not stopping
+     * @param originLimit the member's own limit of requests in flight to the origin
+     * @param endpointListVersion the version of the endpoint list that the member uses
      */
     public record Peer(
             String id,
@@ -67,7 +67,7 @@
                     metadata.metrics().endpointList().version());
         }
 
-        /** Whether it has not lost its state, or has it again. */
+        /** Whether the member serves and either kept its state or has recovered it. */
         boolean hasFullState() {
             return phase.isEmpty() && isServing;
         }
--- a/src/main/java/cairnbridge/recovery/IncomingRequest.java
+++ b/src/main/java/cairnbridge/recovery/IncomingRequest.java
@@ -5,14 +5,14 @@
 import cairnbridge.decision.Ids.RequestId;
 
 /**
- * A new request, as far as recovery looks at it.
+ * The properties of a new request on which its admission during recovery depends.
  *
- * @param id its id
- * @param category its class
- * @param key what it is about; null if it names nothing
- * @param isWrite whether it writes
- * @param isRetry whether the client marks it as a retry
- * @param deadline when the client stops waiting
+ * @param id the id of the request
+ * @param category the class of the request
+ * @param key the key that the request reads or writes; null if it has none
+ * @param isWrite whether the request is a write
+ * @param isRetry whether the client has marked the request as a retry
+ * @param deadline when the client stops waiting for an answer
  */
 public record IncomingRequest(
         RequestId id,
@@ -21,7 +21,7 @@
         boolean isWrite,
         boolean isRetry,
         long deadline) {
-    /** Whether it reads a key. */
+    /** Whether the request is a read of a key. */
     boolean isKeyedRead() {
         return !isWrite && key != null;
     }
--- a/src/main/java/cairnbridge/recovery/KeyAdmission.java
+++ b/src/main/java/cairnbridge/recovery/KeyAdmission.java
@@ -10,11 +10,12 @@
 import java.util.Set;
 
 /**
- * Which keys are cached again, and which member of a zone fetches one that is not. Each key has one
- * fetcher among the zone's members, by the highest hash of both (rendezvous hashing, Thaler and
- * Ravishankar 1998), which lets a read of it through at once; the others wait for as long as a
- * fetch takes, and find it cached. Members do not talk about it. Memory is bounded: of two
- * generations of keys the older one is forgotten.
+ * Tracks which keys are cached again after the power loss, and decides which member of a zone
+ * fetches each other key. The fetcher of a key is the member with the highest hash of member and
+ * key (rendezvous hashing, Thaler and Ravishankar 1998), so members agree on it without messages.
+ * The fetcher admits a read of the key at once. The other members delay theirs for as long as a
+ * fetch takes, after which the key is cached. Memory is bounded: when a set of keys is full, it
+ * replaces the older set, whose keys are forgotten.
  */
 final class KeyAdmission {
     private static final int MAX_KEYS_PER_SET = 32_768;
@@ -24,7 +25,7 @@
     private Set<KeyId> cached = new HashSet<>();
     private Set<KeyId> olderCached = new HashSet<>();
 
-    /** Keys that this member fetches, and by how many requests. */
+    /** Keys that this member is fetching, with the number of requests that fetch each. */
     private final Map<KeyId, Integer> fetches = new HashMap<>();
 
     /** When a key that another member fetches was first requested here. */
@@ -37,7 +38,7 @@
         zoneMembers = List.of(self);
     }
 
-    /** Sets which members of this one's zone take requests, this one included. */
+    /** Sets the serving members of this member's zone, including this member. */
     void zoneMembersChanged(List<String> members) {
         zoneMembers = members;
     }
@@ -50,17 +51,20 @@
         return fetches.containsKey(key);
     }
 
-    /** Whether a read has to wait for another member, whose fetch takes this long. */
+    /**
+     * Whether a read has to wait for the member that fetches its key. The first read of a key
+     * starts the wait, which ends after the duration of a fetch.
+     */
     boolean mustWait(KeyId key, long fetchDuration, long now) {
         if (fetcherOf(key).equals(self)) {
             return false;
         }
-        Long since = requestedAt.getOrDefault(key, olderRequestedAt.get(key));
-        if (since == null) {
+        Long firstRequest = requestedAt.getOrDefault(key, olderRequestedAt.get(key));
+        if (firstRequest == null) {
             recordRequest(key, now);
             return true;
         }
-        return now - since < fetchDuration;
+        return now - firstRequest < fetchDuration;
     }
 
     private void recordRequest(KeyId key, long now) {
@@ -83,7 +87,7 @@
         fetches.merge(key, 1, Integer::sum);
     }
 
-    /** A fetch has ended; it succeeded if the key's value was received. */
+    /** Notes the end of a fetch. If it succeeded, the key is cached from now on. */
     void fetchEnded(KeyId key, boolean succeeded) {
         fetches.computeIfPresent(key, (same, count) -> count > 1 ? count - 1 : null);
         if (succeeded) {
--- a/src/main/java/cairnbridge/recovery/NodeStartTimes.java
+++ b/src/main/java/cairnbridge/recovery/NodeStartTimes.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** What recovery needs of the endpoint list: which node is the origin, and when others started. */
+/** Tracks from the endpoint list which node is the origin, and when the cache nodes started. */
 final class NodeStartTimes {
     private final MachineKind originKind;
     private final Map<NodeId, Long> startedAt = new HashMap<>();
@@ -19,7 +19,7 @@
         this.originKind = originKind;
     }
 
-    /** Applies a change; an empty list leaves the one before in use. */
+    /** Applies a whole list or a change; a whole list without nodes is ignored. */
     void endpointListChanged(Event.EndpointListReceived change) {
         if (change.scope() != ListScope.CHANGES && !change.endpoints().isEmpty()) {
             startedAt.clear();
@@ -35,12 +35,12 @@
         }
     }
 
-    /** When the last of the cache nodes started, in ticks of Unix time; 0 if there is none. */
+    /** The latest start of a cache node, in ticks of Unix time; 0 if there is no cache node. */
     long latestStart() {
         return startedAt.values().stream().mapToLong(Long::longValue).max().orElse(0);
     }
 
-    /** The origin, if a list has named it. */
+    /** The origin; empty until a list has contained it. */
     Optional<NodeId> origin() {
         return origin;
     }
--- a/src/main/java/cairnbridge/recovery/OriginConcurrencyLimit.java
+++ b/src/main/java/cairnbridge/recovery/OriginConcurrencyLimit.java
@@ -4,13 +4,15 @@
 import java.util.List;
 
 /**
- * How many requests to the origin may be in flight: few at first, growing exponentially while the
- * origin answers in time, and halved when it fails or a quarter of its answers is late, as TCP's
- * slow start and additive increase (Jacobson 1988).
+ * Limits the requests in flight to the origin during recovery. The limit begins low and grows
+ * exponentially while the origin answers in time. When the origin fails, or a quarter of its recent
+ * answers are late, the limit is halved and grows linearly from then on, like TCP's slow start and
+ * additive increase (Jacobson 1988).
  *
- * <p>An answer is late if it took twice as long as the best one and is of no use to the client with
- * the shortest objective; one such answer alone proves nothing. A member that is far ahead of the
- * others waits for them: it allows at most twice the lower median of all recovering members.
+ * <p>An answer is late if it took more than twice the best recent latency and also exceeds the
+ * useful latency. One late answer alone does not lower the limit. A member's limit is at most twice
+ * the lower median of the limits of the other recovering members, so that no member recovers far
+ * ahead of the others.
  */
 final class OriginConcurrencyLimit {
     private static final double LATE_FACTOR = 2;
@@ -19,7 +21,10 @@
     private static final double LATE_SHARE_WEIGHT = 0.125;
     private static final long MIN_DECREASE_INTERVAL = Ticks.SECOND / 5;
 
-    /** A best latency of long ago proves little: it grows by half in this time. */
+    /**
+     * The best latency is raised with its age, because the origin may have become slower since: by
+     * half of its value in this time.
+     */
     private static final long BEST_LATENCY_AGING_TIME = 5 * Ticks.SECOND;
 
     private static final double BEST_LATENCY_AGING_RATE = 0.5;
@@ -32,18 +37,18 @@
     private double ownLimit;
     private double peerLimit = Double.MAX_VALUE;
 
-    /** The shortest latency; 0 before the first answer. */
+    /** The shortest recent latency; 0 before the first answer. */
     private double bestLatency;
 
     private long bestLatencyAt;
     private long decreasedAt = NEVER;
     private double lateShare;
 
-    /** Whether the limit was cut, after which it grows linearly. */
+    /** Whether the limit grows linearly, as it does after the first decrease. */
     private boolean additive;
 
     /**
-     * A ramp from an initial limit.
+     * Starts at an initial limit, and at one request if that is lower.
      *
      * @param usefulLatency an answer within this time is never late
      */
@@ -53,7 +58,7 @@
         ownLimit = this.initialLimit;
     }
 
-    /** An attempt at the origin has ended. */
+    /** Adapts the limit to the result of an attempt at the origin. */
     void attemptEnded(boolean succeeded, long latency, long now) {
         if (!succeeded) {
             decrease(now);
@@ -70,8 +75,9 @@
     }
 
     private void updateBestLatency(long latency, long now) {
-        double fade = 1 + BEST_LATENCY_AGING_RATE * (now - bestLatencyAt) / BEST_LATENCY_AGING_TIME;
-        if (bestLatency == 0 || latency < bestLatency * fade) {
+        double aging =
+                1 + BEST_LATENCY_AGING_RATE * (now - bestLatencyAt) / BEST_LATENCY_AGING_TIME;
+        if (bestLatency == 0 || latency < bestLatency * aging) {
             bestLatency = Math.max(1, latency);
             bestLatencyAt = now;
         }
@@ -90,11 +96,12 @@
     }
 
     /**
-     * Follows the other members.
+     * Caps the limit by those of other members.
      *
-     * @param limits the limits that other recovering members announce
-     * @param readsSince for how long reads have been served. Guards against a large fleet whose
-     *     members announce new metrics only every minute: all limits double with time
+     * @param limits the limits that other recovering members announce; there is no cap if empty
+     * @param readsSince how long this member has served reads; the cap is at least the initial
+     *     limit, doubled once a second for this long. Guards against outdated limits holding back a
+     *     large fleet, whose members announce new metrics only every minute
      */
     void peersChanged(List<Integer> limits, long readsSince) {
         if (limits.isEmpty()) {
@@ -104,21 +111,21 @@
         List<Integer> sorted = limits.stream().sorted().toList();
         double lowerMedian = sorted.get((sorted.size() - 1) / 2);
         double doublings = Math.min(MAX_DOUBLINGS, (double) readsSince / DOUBLING_TIME);
-        double byTime = initialLimit * Math.pow(2, doublings);
-        peerLimit = Math.max(1, Math.max(2 * lowerMedian, byTime));
+        double minPeerLimit = initialLimit * Math.pow(2, doublings);
+        peerLimit = Math.max(1, Math.max(2 * lowerMedian, minPeerLimit));
     }
 
-    /** How many requests may be in flight. */
+    /** How many requests may be in flight to the origin. */
     int limit() {
         return (int) Math.min(ownLimit, peerLimit);
     }
 
-    /** What this member has found by itself, to be announced. */
+    /** The limit without the cap by other members, which this member announces to them. */
     int ownLimit() {
         return (int) ownLimit;
     }
 
-    /** How long the origin takes; 0 while that is not known. */
+    /** The shortest recent latency of the origin; 0 before the first answer. */
     long bestLatency() {
         return (long) bestLatency;
     }
--- a/src/main/java/cairnbridge/recovery/RecoveryAdmission.java
+++ b/src/main/java/cairnbridge/recovery/RecoveryAdmission.java
@@ -11,23 +11,23 @@
 import java.util.Map;
 import java.util.random.RandomGenerator;
 
-/** Admits or rejects requests during recovery, and tells rejected clients when to come back. */
+/** Admits or rejects requests during recovery, and sets the retry delay of rejected ones. */
 final class RecoveryAdmission {
     private static final long MIN_RETRY_AFTER = 20 * Ticks.MILLISECOND;
     private static final long MAX_RETRY_AFTER = 2 * Ticks.SECOND;
 
-    /** For requests that come before their kind is served. */
+    /** The mean retry delay of requests that the proxy does not serve yet. */
     private static final long NOT_YET_SERVED_RETRY_AFTER = Ticks.SECOND / 2;
 
-    /** How long a fetch takes while that is not known. */
+    /** The assumed latency of a fetch from the origin before one has been measured. */
     private static final long DEFAULT_FETCH_LATENCY = 20 * Ticks.MILLISECOND;
 
-    /** The count of rejections halves in this time. */
+    /** The count of recent rejections is halved in this time. */
     private static final double REJECTION_HALF_LIFE = Ticks.SECOND;
 
-    /** A request that was admitted while its key may not be cached. */
+    /** An admitted request that counts towards the origin limit, as its key may not be cached. */
     private static final class AdmittedRequest {
-        /** The key that it fetches; null if it fetches none. */
+        /** The key that the request fetches; null if the request is not a read of a key. */
         private final KeyId key;
 
         private boolean succeeded;
@@ -53,10 +53,10 @@
     RecoveryAdmission(
             List<Category> categories,
             String member,
-            OriginConcurrencyLimit originRamp,
+            OriginConcurrencyLimit originLimit,
             RandomGenerator random) {
         this.categories = categories;
-        this.originLimit = originRamp;
+        this.originLimit = originLimit;
         this.random = random;
         priorities = new CategoryPriorities(categories);
         keys = new KeyAdmission(member);
@@ -71,12 +71,12 @@
         keys.zoneMembersChanged(members);
     }
 
-    /** Requests since the present phase began. */
+    /** How many requests of this phase were not rejected for an unconfirmed endpoint list. */
     int requestsInPhase() {
         return requestsInPhase;
     }
 
-    /** Whether nothing was held back for the origin's sake for this long. */
+    /** Whether the origin limit has rejected no request of the current phase for this long. */
     boolean isUnthrottledFor(long duration, long now) {
         return now - throttledAt >= duration;
     }
@@ -97,17 +97,17 @@
     AdmissionDecision admit(
             IncomingRequest request, RecoveryPhase phase, boolean listConfirmed, long now) {
         int category = request.category().value();
-        boolean onlyOnce = categories.get(category).effect() != Effect.IDEMPOTENT;
-        if (onlyOnce && !listConfirmed) {
+        boolean notIdempotent = categories.get(category).effect() != Effect.IDEMPOTENT;
+        if (notIdempotent && !listConfirmed) {
             return reject(Reason.ENDPOINT_LIST_UNCONFIRMED, NOT_YET_SERVED_RETRY_AFTER, now);
         }
         if (phase == RecoveryPhase.SERVE_ALL) {
             return AdmissionDecision.ADMIT;
         }
         requestsInPhase++;
-        boolean servedFirst = request.isWrite() || onlyOnce || priorities.isHighest(category);
+        boolean prioritized = request.isWrite() || notIdempotent || priorities.isHighest(category);
         boolean served =
-                servedFirst
+                prioritized
                         ? phase.compareTo(RecoveryPhase.SERVE_WRITES) >= 0
                         : phase.compareTo(RecoveryPhase.SERVE_READS) >= 0;
         return served
@@ -126,9 +126,9 @@
         }
         double share = priorities.limitShare(request.category().value());
         if (inFlight.size() >= Math.max(1, originLimit.limit() * share)) {
-            // The more requests come that cannot be admitted, the later each is to come back.
-            double crowd = 1 + recentRejections / Math.max(1, originLimit.limit());
-            return reject(Reason.ORIGIN_LIMIT, (long) (fetchDuration * crowd), now);
+            // The more requests the limit has rejected recently, the longer the retry delay.
+            double backoff = 1 + recentRejections / Math.max(1, originLimit.limit());
+            return reject(Reason.ORIGIN_LIMIT, (long) (fetchDuration * backoff), now);
         }
         inFlight.put(request.id(), new AdmittedRequest(read ? request.key() : null));
         if (read) {
@@ -138,8 +138,8 @@
     }
 
     private long fetchLatency() {
-        long known = originLimit.bestLatency();
-        return known == 0 ? DEFAULT_FETCH_LATENCY : known;
+        long measured = originLimit.bestLatency();
+        return measured == 0 ? DEFAULT_FETCH_LATENCY : measured;
     }
 
     private boolean isFetchedElsewhere(KeyId key, long fetchDuration, long now) {
@@ -147,8 +147,8 @@
     }
 
     /**
-     * Guards against clients that all come back at once: each is told another time, from half to
-     * one and a half of the delay.
+     * Rejects a request. Guards against clients that all retry at once: the retry delay is random,
+     * from half to one and a half of the given one.
      */
     private AdmissionDecision reject(Reason reason, long delay, long now) {
         rejected++;
--- a/src/main/java/cairnbridge/recovery/RecoveryCoordinator.java
+++ b/src/main/java/cairnbridge/recovery/RecoveryCoordinator.java
@@ -14,37 +14,37 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One proxy's recovery from a power loss. It is told what happens, asked about each new request,
- * and advanced now and then. A proxy that meets a fleet which never lost power goes to the last
- * phase as soon as its endpoint list is confirmed.
+ * Takes one proxy through its recovery from a power loss. The proxy reports events, has each new
+ * request admitted, and calls {@link #advance} regularly. If half of the fleet kept its state, the
+ * proxy enters the last phase as soon as its endpoint list is confirmed.
  */
 public final class RecoveryCoordinator {
     /** The persisted list is used if discovery has sent none within this time. */
     private static final long PERSISTED_LIST_DELAY = Ticks.SECOND;
 
-    /** Between two requests for a member's list, and between two probes of the origin. */
+    /** The interval of requests for another member's list, and of health checks of the origin. */
     private static final long REQUEST_INTERVAL = Ticks.SECOND / 2;
 
-    /** Writes are served alone for this long. */
+    /** How long writes are served before reads. */
     private static final long WRITES_ONLY_TIME = Ticks.SECOND / 4;
 
-    /** Recovery is over once nothing was held back for so long, ... */
+    /** Recovery is over once the origin limit has rejected nothing for this long ... */
     private static final long UNTHROTTLED_TIME = 2 * Ticks.SECOND;
 
-    /** ... while this many requests came. */
+    /** ... and at least this many requests have arrived in the phase. */
     private static final int MIN_UNTHROTTLED_REQUESTS = 50;
 
     private static final long NEVER = Long.MIN_VALUE / 2;
 
     /**
-     * What recovery knows of the deployment and of this proxy.
+     * The configuration of the deployment and of this proxy, as far as recovery needs it.
      *
      * @param categories the classes of requests
-     * @param proxies the configured number of proxies, which counts if fewer are remembered
+     * @param proxies the configured number of proxies; used if fewer members were persisted
      * @param originKind the machine kind of the origin
      * @param mayProbe whether health checks are allowed
      * @param member the name of this member
-     * @param zone its zone
+     * @param zone the zone of this member
      */
     public record Deployment(
             List<Category> categories,
@@ -77,7 +77,7 @@
     private long listRequestedAt = NEVER;
     private long probedAt = NEVER;
 
-    /** Recovery that begins now. */
+    /** Starts a recovery. */
     public RecoveryCoordinator(
             RecoverySettings settings,
             RestoredState restored,
@@ -108,9 +108,7 @@
         admission.phaseBegan(now);
     }
 
-    // What happens.
-
-    /** The view of the fleet has changed. */
+    /** Handles a change of the membership view. */
     public void fleetChanged(FleetSnapshot snapshot, long now) {
         fleet = Optional.of(snapshot);
         endpointList.fleetChanged(snapshot);
@@ -133,7 +131,7 @@
         return members;
     }
 
-    /** An endpoint list is in use: discovery's or, if its scope is CACHED, another one. */
+    /** Handles a list that is in use: from discovery unless its scope is CACHED. */
     public void endpointListChanged(Event.EndpointListReceived list, long now) {
         nodes.endpointListChanged(list);
         if (list.scope() == ListScope.CACHED) {
@@ -143,12 +141,12 @@
         }
     }
 
-    /** Discovery has sent a list that is older than the floor; it is not in use. */
+    /** Handles a list from discovery that is older than the floor and not in use. */
     public void staleListReceived(long version, long now) {
         listReceived(version, nodes.latestStart(), now);
     }
 
-    /** A list that did not come from discovery is in use. */
+    /** Handles a list that is in use and did not come from discovery. */
     void unconfirmedListUsed(long version, long newestNodeStart, long now) {
         endpointList.unconfirmedListUsed(version);
         unknownOutcomes.setNewestNodeStart(newestNodeStart);
@@ -156,7 +154,7 @@
         advance(now);
     }
 
-    /** Discovery has sent its list. */
+    /** Handles a list from discovery. */
     void listReceived(long version, long newestNodeStart, long now) {
         if (endpointList.listReceived(version, now)) {
             unknownOutcomes.setNewestNodeStart(newestNodeStart);
@@ -164,28 +162,26 @@
         advance(now);
     }
 
-    /** Lists of discovery's below this version are older than what was known before the loss. */
+    /** Lists from discovery below this version are older than a known one and are not used. */
     public long endpointListFloor() {
         return endpointList.versionFloor();
     }
 
-    /** A health check has ended. */
-    public void probeEnded(NodeId node, AttemptOutcome ending, long now) {
+    /** Handles the result of a health check. */
+    public void probeEnded(NodeId node, AttemptOutcome outcome, long now) {
         if (nodes.isOrigin(node)) {
             // An error is an answer as well: the origin runs.
-            originProbed(ending == AttemptOutcome.SUCCESS || ending == AttemptOutcome.ERROR, now);
+            originProbed(outcome == AttemptOutcome.SUCCESS || outcome == AttemptOutcome.ERROR, now);
         }
     }
 
-    /** The health of the origin was checked. */
+    /** Handles the result of a health check of the origin. */
     void originProbed(boolean answered, long now) {
         originAnswered |= answered;
         advance(now);
     }
 
-    // The order of phases.
-
-    /** Goes on to further phases if what they waited for has happened. */
+    /** Enters every phase whose conditions are met, and requests what the phase waits for. */
     public void advance(long now) {
         if (endpointList.acceptStaleIfDue(now)) {
             host.log(
@@ -202,7 +198,7 @@
         if (phase != RecoveryPhase.SERVE_ALL && overdue && endpointList.hasList()) {
             enter(
                     RecoveryPhase.SERVE_ALL,
-                    "it took " + Ticks.toSeconds(now - startedAt) + " s",
+                    "maximum duration reached: " + Ticks.toSeconds(now - startedAt) + " s",
                     now);
         }
     }
@@ -214,15 +210,18 @@
             case AWAIT_ORIGIN -> awaitOrigin(now);
             case SERVE_WRITES -> {
                 if (now - phaseSince >= WRITES_ONLY_TIME) {
-                    enter(RecoveryPhase.SERVE_READS, "writes had their start", now);
+                    enter(RecoveryPhase.SERVE_READS, "the time for writes alone is over", now);
                 }
             }
             case SERVE_READS -> {
-                boolean calm =
+                boolean unthrottled =
                         now - phaseSince >= UNTHROTTLED_TIME
                                 && admission.isUnthrottledFor(UNTHROTTLED_TIME, now);
-                if (calm && admission.requestsInPhase() >= MIN_UNTHROTTLED_REQUESTS) {
-                    enter(RecoveryPhase.SERVE_ALL, "nothing was held back for 2 s", now);
+                if (unthrottled && admission.requestsInPhase() >= MIN_UNTHROTTLED_REQUESTS) {
+                    enter(
+                            RecoveryPhase.SERVE_ALL,
+                            "the origin limit rejected nothing for 2 s",
+                            now);
                 }
             }
             default -> {
@@ -232,24 +231,24 @@
     }
 
     private void awaitMembers(long now) {
-        boolean majority = fleet.filter(seen -> seen.size() * 2 > expectedMembers).isPresent();
+        boolean majority = fleet.filter(view -> view.size() * 2 > expectedMembers).isPresent();
         if (majority) {
             enter(
                     RecoveryPhase.AWAIT_ENDPOINT_LIST,
-                    "a majority of " + expectedMembers + " is in view",
+                    "a majority of " + expectedMembers + " members is in view",
                     now);
         } else if (hasHalfOfFleetFullState()) {
             enter(
                     RecoveryPhase.AWAIT_ENDPOINT_LIST,
-                    "members that kept their power are in view",
+                    "members with their full state are in view",
                     now);
         } else if (now - startedAt >= settings.quorumTimeout()) {
-            enter(RecoveryPhase.AWAIT_ENDPOINT_LIST, "no majority came", now);
+            enter(RecoveryPhase.AWAIT_ENDPOINT_LIST, "no majority before the timeout", now);
         }
     }
 
     private boolean hasHalfOfFleetFullState() {
-        return fleet.filter(seen -> 2 * seen.peersWithFullState() >= expectedMembers).isPresent();
+        return fleet.filter(view -> 2 * view.peersWithFullState() >= expectedMembers).isPresent();
     }
 
     private void awaitEndpointList(long now) {
@@ -259,13 +258,12 @@
             persistedListUsed = true;
             host.usePersistedList();
         }
-        boolean waitedEnough =
-                endpointList.hasList() && now - phaseSince >= settings.quorumTimeout();
+        boolean timedOut = endpointList.hasList() && now - phaseSince >= settings.quorumTimeout();
         if (endpointList.isConfirmed() && hasHalfOfFleetFullState()) {
             fleetHasFullState = true;
-            enter(RecoveryPhase.SERVE_ALL, "the fleet kept its power", now);
-        } else if (endpointList.isConfirmed() || waitedEnough) {
-            enter(RecoveryPhase.AWAIT_ORIGIN, "list " + endpointList.status(), now);
+            enter(RecoveryPhase.SERVE_ALL, "half of the fleet has its full state", now);
+        } else if (endpointList.isConfirmed() || timedOut) {
+            enter(RecoveryPhase.AWAIT_ORIGIN, "endpoint list " + endpointList.status(), now);
         }
     }
 
@@ -282,11 +280,11 @@
 
     private void awaitOrigin(long now) {
         if (!deployment.mayProbe()) {
-            enter(RecoveryPhase.SERVE_WRITES, "the origin may not be asked", now);
+            enter(RecoveryPhase.SERVE_WRITES, "health checks are not allowed", now);
         } else if (originAnswered) {
             enter(RecoveryPhase.SERVE_WRITES, "the origin answers", now);
         } else if (now - phaseSince >= settings.quorumTimeout()) {
-            enter(RecoveryPhase.SERVE_WRITES, "the origin has not answered", now);
+            enter(RecoveryPhase.SERVE_WRITES, "no answer of the origin before the timeout", now);
         } else if (now - probedAt >= REQUEST_INTERVAL) {
             probedAt = now;
             host.probeOrigin();
@@ -306,9 +304,7 @@
         admission.phaseBegan(now);
     }
 
-    // Requests.
-
-    /** Decides about a new request, before anything else does. */
+    /** Decides about a new request; to be called before the request is routed. */
     public AdmissionDecision admit(IncomingRequest request, long now) {
         Category category = deployment.categories().get(request.category().value());
         boolean unknown =
@@ -319,7 +315,7 @@
         return admission.admit(request, phase, endpointList.isConfirmed(), now);
     }
 
-    /** An attempt of a request has ended. */
+    /** Handles the end of an attempt of a request. */
     public void attemptEnded(
             RequestId request, NodeId node, AttemptOutcome outcome, long duration, long now) {
         boolean wasSent = outcome != AttemptOutcome.NOT_SENT;
@@ -328,7 +324,7 @@
         attemptEnded(request, atOrigin, outcome == AttemptOutcome.SUCCESS, duration, now);
     }
 
-    /** The same where it is known whether the end says anything about the origin. */
+    /** Handles the end of an attempt; {@code atOrigin} if it shows how the origin is doing. */
     void attemptEnded(RequestId id, boolean atOrigin, boolean succeeded, long duration, long now) {
         if (phase == RecoveryPhase.SERVE_ALL) {
             return;
@@ -342,24 +338,22 @@
         }
     }
 
-    /** A request has got its answer. */
+    /** Handles the end of a request: it was answered, or no answer is owed any more. */
     public void requestAnswered(RequestId request) {
         admission.requestAnswered(request);
     }
 
-    // What others may read.
-
-    /** The origin, if an endpoint list has named it. */
+    /** The origin; empty until an endpoint list has contained it. */
     public Optional<NodeId> origin() {
         return nodes.origin();
     }
 
-    /** The present phase. */
+    /** The current phase. */
     public RecoveryPhase phase() {
         return phase;
     }
 
-    /** What other members are told: the limit that this proxy has found by itself. */
+    /** The limit of requests in flight to the origin that this proxy announces to other members. */
     public int originLimit() {
         return originLimit.ownLimit();
     }
@@ -369,17 +363,17 @@
         return endpointList.isConfirmed();
     }
 
-    /** Retries that were failed as the outcome of their first attempt is unknown. */
+    /** The number of retries that were failed because their first attempt may have run. */
     public long failedAsUnknown() {
         return admission.failedAsUnknown();
     }
 
-    /** Requests that were rejected. */
+    /** The number of requests that were rejected. */
     public long rejected() {
         return admission.rejected();
     }
 
-    /** The present state for operators, one sentence a line. */
+    /** The lines of the answer to the admin call {@code recovery}. */
     public List<String> status(long now) {
         int members = fleet.map(FleetSnapshot::size).orElse(1);
         return List.of(
--- a/src/main/java/cairnbridge/recovery/RecoveryHost.java
+++ b/src/main/java/cairnbridge/recovery/RecoveryHost.java
@@ -1,19 +1,22 @@
 package cairnbridge.recovery;
 
-/** What recovery asks of the proxy; called within its own methods, and must not block. */
+/**
+ * What the recovery of a proxy needs the proxy to do. {@link RecoveryCoordinator} calls these
+ * methods from within its own, so they must not block.
+ */
 public interface RecoveryHost {
-    /** Use the persisted endpoint list, as there is none better. */
+    /** Uses the persisted endpoint list, because there is no other list yet. */
     void usePersistedList();
 
-    /** Request the endpoint list of a member. */
+    /** Requests the endpoint list of another member and uses it. */
     void requestEndpointList(String member);
 
-    /** Request discovery's whole list again, and use it whatever its version. */
+    /** Requests the whole list from discovery again and uses it whatever its version. */
     void acceptStaleList();
 
-    /** Check the health of the origin. */
+    /** Sends a health check to the origin. */
     void probeOrigin();
 
-    /** Log a message for operators. */
+    /** Logs a message for operators. */
     void log(String message);
 }
--- a/src/main/java/cairnbridge/recovery/RecoveryPhase.java
+++ b/src/main/java/cairnbridge/recovery/RecoveryPhase.java
@@ -3,21 +3,22 @@
 import java.util.Optional;
 
 /**
- * How far a proxy has recovered. The phases follow in this order, each at most once in a run of the
- * process. Their ordinals are announced to other members and are a metric.
+ * The phases of a proxy's recovery, in order. Each is entered at most once in a run of the process.
+ * Phase numbers are announced to other members and exported as a metric, so the order of the
+ * constants must not change.
  */
 public enum RecoveryPhase {
-    /** Waits for a majority of the fleet. */
+    /** Waits until a majority of the fleet is in view. */
     AWAIT_MEMBERS("view", "members"),
-    /** Waits for an endpoint list that is confirmed. */
+    /** Waits until the endpoint list is confirmed. */
     AWAIT_ENDPOINT_LIST("roster", "a list of nodes"),
-    /** Waits for a first answer of the origin. */
+    /** Waits for the first answer of the origin. */
     AWAIT_ORIGIN("origin", "an answer of the origin"),
-    /** Serves writes and the classes of the highest priority. */
+    /** Serves writes, requests that are not idempotent and the class of the highest priority. */
     SERVE_WRITES("writes", "the first writes"),
-    /** Serves reads as well, as many at a time as the origin takes. */
+    /** Serves all requests, within the limit of requests in flight to the origin. */
     SERVE_READS("reads", "the origin to bear all that is asked"),
-    /** Serves everything: recovery is over. */
+    /** Serves all requests without that limit: recovery is over. */
     SERVE_ALL("all", "nothing");
 
     private final String displayName;
@@ -33,27 +34,27 @@
         return displayName;
     }
 
-    /** What the phase waits for, as operators read it. */
+    /** What the phase waits for, in the answer of the admin call {@code recovery}. */
     String awaited() {
         return awaited;
     }
 
-    /** As it is announced to members: the number of the phase from 1, or 0 if recovery is over. */
+    /** The number announced to other members: from 1 for the first phase, 0 for the last one. */
     public int announced() {
         return this == SERVE_ALL ? 0 : ordinal() + 1;
     }
 
-    /** As it is exported as a metric: the number of the phase from 1. */
+    /** The value of the metric: from 1 for the first phase. */
     public int metricValue() {
         return ordinal() + 1;
     }
 
-    /** The phase that a member announces; empty if it does not recover from anything. */
+    /** The phase of a member that announces this number; empty if the member is not recovering. */
     static Optional<RecoveryPhase> ofAnnounced(int number) {
         if (number == 0) {
             return Optional.empty();
         }
-        // A number that only a newer program has counts as the last one that is known.
+        // A newer version of the program may have more phases: they count as the last one.
         return Optional.of(values()[Math.min(number, values().length) - 1]);
     }
 }
--- a/src/main/java/cairnbridge/recovery/RestoredState.java
+++ b/src/main/java/cairnbridge/recovery/RestoredState.java
@@ -4,16 +4,17 @@
 import java.util.List;
 
 /**
- * What of a persisted state is used.
+ * The part of a persisted state that a restarted proxy uses.
  *
- * @param nodesInMaintenance nodes that operators had taken out
- * @param generation the generation of this run has to be higher
- * @param epochFloor no zone plan of a lower epoch may come into force
+ * @param nodesInMaintenance the nodes that operators had put into maintenance
+ * @param generation the highest persisted generation; that of this run has to be higher
+ * @param epochFloor the lowest epoch that a zone plan may have to take effect
  * @param endpointList the list to begin with; {@link PersistedState.EndpointList#NONE} for none
- * @param contacts members to call after the seeds, those that were live first
+ * @param contacts members to contact after the seeds, with those first that were live
  * @param livePeers how many other members were live
- * @param isNodeTrustUsable whether what was learnt about nodes may be used
- * @param report what is used, its age and the reason, one line an item, for operators
+ * @param isNodeTrustUsable whether the measurements of the origin and the cache nodes may be used
+ * @param report for operators, a line for each part of the state: whether it is used, its age and
+ *     the reason
  */
 public record RestoredState(
         List<Long> nodesInMaintenance,
@@ -24,7 +25,7 @@
         int livePeers,
         boolean isNodeTrustUsable,
         List<String> report) {
-    /** Copies the lists. */
+    /** Makes defensive copies of the lists. */
     public RestoredState {
         nodesInMaintenance = List.copyOf(nodesInMaintenance);
         contacts = List.copyOf(contacts);
--- a/src/main/java/cairnbridge/recovery/StateKeeper.java
+++ b/src/main/java/cairnbridge/recovery/StateKeeper.java
@@ -25,9 +25,9 @@
 import java.util.function.Consumer;
 
 /**
- * A proxy's persisted state, from its start to its end. It is opened before the proxy is made: it
- * reads the state, decides what is used and takes the generation of this run, and waits for a slow
- * disk no longer than some seconds. Any thread may call it.
+ * Gives a proxy access to its persisted state. It is opened before the proxy is created: it reads
+ * the state, validates it and persists the generation of this run. Opening waits no longer than 3 s
+ * for a slow disk. Thread-safe.
  */
 public final class StateKeeper {
     private static final long MAX_OPEN_MILLIS = 2_000;
@@ -63,11 +63,11 @@
     }
 
     /**
-     * Opens the state.
+     * Opens the persisted state.
      *
-     * @param clockGeneration the generation of this run by the clock; a higher one is taken if it
-     *     was used before
-     * @param log takes messages for operators from any thread
+     * @param clockGeneration the generation of this run according to the clock; a higher one is
+     *     used unless this one is above all persisted generations
+     * @param log receives messages for operators; called by several threads
      */
     public static StateKeeper open(
             RecoverySettings settings, long clockGeneration, Consumer<String> log)
@@ -82,12 +82,13 @@
         try {
             stored.get(maxMillis, TimeUnit.MILLISECONDS);
         } catch (TimeoutException | ExecutionException e) {
-            // The store logs it; a later run is then kept apart by the machine's clock alone.
+            // The store logs the failure. This generation is then not persisted, so only the
+            // machine's clock gives a later run a higher one.
             store.checkDisk();
         }
     }
 
-    /** The kernel's id of this boot; empty if it has none. */
+    /** Reads the kernel's boot id; empty if the kernel has none. */
     private static String readBootId() {
         try {
             return Files.readString(BOOT_ID).strip();
@@ -101,27 +102,27 @@
         return settings;
     }
 
-    /** What of the persisted state is used. */
+    /** The part of the persisted state that may be used. */
     public RestoredState restored() {
         return restored;
     }
 
-    /** The generation of this run, higher than any before it. */
+    /** The generation of this run, higher than any persisted one. */
     public long generation() {
         return generation;
     }
 
-    /** The present boot of this machine, empty if unknown. */
+    /** The kernel's boot id, which differs after each boot of the machine; empty if unknown. */
     public String bootId() {
         return bootId;
     }
 
-    /** Where state is persisted. */
+    /** The store that persists the state of this run. */
     public StateStore store() {
         return store;
     }
 
-    /** What was learnt about nodes, as far as that is used. */
+    /** The persisted measurements for a warm start of the router; empty if they are not usable. */
     public WarmStartState learntTrust() {
         if (!restored.isNodeTrustUsable()) {
             return WarmStartState.EMPTY;
@@ -137,7 +138,7 @@
                 trust.recordedAt(), trust.originLatency(), trust.sendRate(), nodes);
     }
 
-    /** What was learnt about nodes, in the form in which it is persisted. */
+    /** Converts the router's measurements to the form in which they are persisted. */
     public static PersistedState.NodeTrust persistedTrust(WarmStartState learnt) {
         List<PersistedState.Node> nodes = new ArrayList<>();
         learnt.nodes()
@@ -152,7 +153,7 @@
                 learnt.recordedAt(), learnt.originLatency(), learnt.sendsPerSecond(), nodes);
     }
 
-    /** The members of a view but the one whose view it is, in the form that is persisted. */
+    /** Converts the other members of a view to the form in which they are persisted. */
     public static List<PersistedState.Peer> persistedPeers(MembershipView view) {
         return view.members().stream()
                 .filter(member -> !member.id().equals(view.self()))
@@ -169,14 +170,14 @@
                 member.status().isLive());
     }
 
-    /** Endpoints of remembered members; those that cannot be parsed are left out. */
+    /** The endpoints of persisted members; those that cannot be parsed are left out. */
     public List<Endpoint> rememberedEndpoints() {
         List<Endpoint> endpoints = new ArrayList<>();
         for (PersistedState.Peer peer : restored.contacts()) {
             try {
                 endpoints.add(Endpoint.parse(peer.endpoint()));
             } catch (IllegalArgumentException e) {
-                // Persisted by a program that wrote endpoints otherwise: it is left out.
+                // Another version of the program may have persisted endpoints in another format.
             }
         }
         return endpoints;
--- a/src/main/java/cairnbridge/recovery/StateValidator.java
+++ b/src/main/java/cairnbridge/recovery/StateValidator.java
@@ -10,11 +10,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Decides what of a persisted state is used; the table in {@code docs/design/recovery.md} documents
- * it. Times are in milliseconds, Unix time.
+ * Decides which parts of a persisted state are used. The rules are in the table in {@code
+ * docs/design/recovery.md}. Times are Unix times in milliseconds. The lines of the report are part
+ * of the answer of the admin call {@code recovery}.
  */
 public final class StateValidator {
-    /** The clocks of a fleet's machines may differ by this much. */
+    /** The clocks of a fleet's machines may differ by this much, so a snapshot may be ahead. */
     static final long MAX_CLOCK_SKEW_MILLIS = 5_000;
 
     private static final int MAX_CONTACTS = 64;
@@ -25,12 +26,12 @@
     private final long maxAgeMillis;
 
     /**
-     * Validates states at one moment.
+     * Creates a validator for states that are read now.
      *
-     * @param cluster the cluster that the state has to belong to
-     * @param bootId the present boot of this machine
+     * @param cluster the name of the cluster that the state has to belong to
+     * @param bootId the kernel's boot id; empty if unknown
      * @param nowMillis the time by this machine's clock, which may be wrong
-     * @param maxAgeMillis the greatest age of a snapshot
+     * @param maxAgeMillis the maximum age of a snapshot whose content is used
      */
     public StateValidator(String cluster, String bootId, long nowMillis, long maxAgeMillis) {
         this.cluster = cluster;
@@ -39,7 +40,7 @@
         this.maxAgeMillis = maxAgeMillis;
     }
 
-    /** What of a state is used. */
+    /** Returns the part of a state that is used. */
     public RestoredState validate(PersistedState state) {
         if (!state.cluster().equals(cluster)) {
             return ofOtherCluster(state.cluster());
@@ -77,14 +78,17 @@
                 report);
     }
 
-    /** Operators mean it until they say otherwise; a number that is skipped costs nothing. */
+    /**
+     * Reports the logged state, which is used whatever its age. Maintenance lasts until an operator
+     * ends it, and an outdated generation or epoch only makes this proxy skip numbers.
+     */
     private static void reportLogged(LoggedState logged, List<String> report) {
         report.add("holds: " + logged.nodesInMaintenance().size() + ", used whatever their age");
         report.add("own life: over " + logged.generation() + ", whatever its age");
         report.add("epoch: " + logged.planEpoch() + " as a floor, whatever its age");
     }
 
-    /** Why a snapshot's content is not used; empty if it is. */
+    /** Why the content of a snapshot is not used; empty if it is used. */
     private Optional<String> rejectionReason(PersistedState.Content content) {
         if (content.writtenAtMillis() == 0) {
             return Optional.of("there is no snapshot");
--- a/src/main/java/cairnbridge/recovery/UnknownOutcomes.java
+++ b/src/main/java/cairnbridge/recovery/UnknownOutcomes.java
@@ -3,35 +3,35 @@
 import cairnbridge.decision.Settings.Category;
 
 /**
- * Recognizes retries whose first attempt may have run before the power loss: requests that must not
- * take effect twice and that were first sent, going by their deadline, before this proxy took
- * requests.
+ * Detects retries whose first attempt may have run before the power loss. These are requests that
+ * must not take effect twice and that, judging by their deadline, the client first sent before this
+ * proxy could accept requests.
  */
 final class UnknownOutcomes {
     private final long startedAt;
     private long newestNodeStart;
 
     /**
-     * Begins with this run of the process.
+     * Creates a detector for this run of the process.
      *
-     * @param startedAt when this proxy could take its first request
+     * @param startedAt when this proxy could accept its first request
      */
     UnknownOutcomes(long startedAt) {
         this.startedAt = startedAt;
     }
 
     /**
-     * Sets when the last of the cache nodes started: their deduplication marks from before that may
-     * be lost.
+     * Sets the latest start of a cache node: the nodes may have lost the idempotency keys that they
+     * had recorded before it.
      */
     void setNewestNodeStart(long at) {
         newestNodeStart = at;
     }
 
-    /** Whether the first attempt of a request may have run. */
-    boolean isOutcomeUnknown(Category category, boolean repeat, long expires) {
-        long firstSentAt = expires - category.ttl();
-        if (!repeat || firstSentAt >= startedAt) {
+    /** Whether a request is a retry whose first attempt may have run. */
+    boolean isOutcomeUnknown(Category category, boolean isRetry, long deadline) {
+        long firstSentAt = deadline - category.ttl();
+        if (!isRetry || firstSentAt >= startedAt) {
             return false;
         }
         return switch (category.effect()) {
--- a/src/main/java/cairnbridge/recovery/package-info.java
+++ b/src/main/java/cairnbridge/recovery/package-info.java
@@ -1,11 +1,12 @@
 /**
- * A proxy's recovery from a power loss: what of the persisted state is trusted, in which order the
- * proxy serves again, and how many requests it lets through to an origin that has just started.
- * {@code docs/design/recovery.md} says why the order is as it is.
+ * A proxy's recovery from a power loss: which parts of the persisted state are used, in which order
+ * kinds of requests are served again, and how many requests may reach an origin that has just
+ * started. {@code docs/design/recovery.md} gives the reasons for the order.
  *
- * <p>Decisions only, apart from {@link cairnbridge.recovery.StateKeeper}, which opens the store.
- * {@link cairnbridge.recovery.RecoveryCoordinator} belongs to the thread that owns the proxy's
- * decisions; it reads no clock, so that the same calls give the same answers. Times are in {@link
- * cairnbridge.time.Ticks}. Loaded only where the fleet's file has a table {@code [recovery]}.
+ * <p>Only {@link cairnbridge.recovery.StateKeeper}, which opens the state store, performs I/O.
+ * {@link cairnbridge.recovery.RecoveryCoordinator} is used on the thread that owns the proxy's
+ * decisions. It reads no clock, so that the same calls give the same results. Times are in {@link
+ * cairnbridge.time.Ticks}. The classes are loaded only if the fleet file has a {@code [recovery]}
+ * table.
  */
 package cairnbridge.recovery;
--- a/src/main/java/cairnbridge/store/PersistedStateCodec.java
+++ b/src/main/java/cairnbridge/store/PersistedStateCodec.java
@@ -139,7 +139,8 @@
     static PersistedState decodeState(byte[] bytes) {
         SnapshotDocument document = decode(bytes, SnapshotDocument.class);
         if (document.format() != FORMAT || document.state() == null) {
-            throw new IllegalArgumentException("has unsupported format " + document.format());
+            throw new IllegalArgumentException(
+                    "contains no state of a supported format, its format is " + document.format());
         }
         return document.state().toState();
     }
