--- a/src/test/java/cairnbridge/recovery/EndpointListFormatTest.java
+++ b/src/test/java/cairnbridge/recovery/EndpointListFormatTest.java
@@ -6,29 +6,30 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The endpoint list as it is persisted and told to members keeps the form of an earlier version.
+ * Guards against a change of the JSON format in which the endpoint list is persisted and sent to
+ * other members: the list has to match files that an earlier version wrote.
  */
 class EndpointListFormatTest {
     @Test
     void linesOfAWatchGiveTheSameList() throws Exception {
-        EndpointListHistory book = new EndpointListHistory();
-        Fixtures.text("list/told.jsonl").lines().forEach(book::lineReceived);
+        EndpointListHistory history = new EndpointListHistory();
+        Fixtures.text("list/told.jsonl").lines().forEach(history::lineReceived);
 
-        assertEquals(44, book.version());
-        assertEquals(Fixtures.text("list/kept.json"), book.endpointList());
+        assertEquals(44, history.version());
+        assertEquals(Fixtures.text("list/kept.json"), history.endpointList());
     }
 
     @Test
-    void aPersistedListIsReadAsALineOfAWatch() throws Exception {
-        EndpointListHistory book = new EndpointListHistory();
-        book.lineReceived(Fixtures.text("list/kept.json"));
+    void aPersistedListIsReadLikeALineOfAWatch() throws Exception {
+        EndpointListHistory history = new EndpointListHistory();
+        history.lineReceived(Fixtures.text("list/kept.json"));
 
-        assertEquals(44, book.version());
-        assertEquals(Fixtures.text("list/kept.json"), book.endpointList());
+        assertEquals(44, history.version());
+        assertEquals(Fixtures.text("list/kept.json"), history.endpointList());
     }
 
     @Test
-    void aListWhoseNodesStartedAnewKeepsItsForm() throws Exception {
+    void aListWithNewStartTimesKeepsItsFormat() throws Exception {
         assertEquals(
                 Fixtures.text("list/started-now.json"),
                 EndpointListHistory.withStartTimes(
--- a/src/test/java/cairnbridge/recovery/RecoveryCoordinatorTest.java
+++ b/src/test/java/cairnbridge/recovery/RecoveryCoordinatorTest.java
@@ -23,14 +23,14 @@
 import java.util.random.RandomGeneratorFactory;
 import org.junit.jupiter.api.Test;
 
-/** One proxy's return after a loss of power, told as what it sees and what becomes of ops. */
+/** The recovery of one proxy after a power loss: its phases and its admission of requests. */
 class RecoveryCoordinatorTest {
     private static final long SECOND = 10_000;
-    private static final long MILLI = 10;
+    private static final long MILLISECOND = 10;
     private static final int READ = 0;
-    private static final int LOAN = 1;
-    private static final int DEAR = 2;
-    private static final int KEYED = 3;
+    private static final int AT_MOST_ONCE_WRITE = 1;
+    private static final int HIGH_PRIORITY = 2;
+    private static final int DEDUPLICATED = 3;
     private static final List<Category> CATEGORIES =
             List.of(
                     category(Effect.IDEMPOTENT, 1),
@@ -45,7 +45,7 @@
                     8,
                     120 * SECOND);
 
-    private static Category category(Effect effect, double benefit) {
+    private static Category category(Effect effect, double priorityWeight) {
         return new Category(
                 effect,
                 DeduplicationScope.ALL_NODES,
@@ -53,49 +53,49 @@
                 SECOND / 4,
                 2,
                 SECOND,
-                benefit,
+                priorityWeight,
                 0,
                 false);
     }
 
-    private static final class Host implements RecoveryHost {
-        final List<String> did = new ArrayList<>();
+    private static final class RecordingHost implements RecoveryHost {
+        final List<String> calls = new ArrayList<>();
 
         @Override
         public void usePersistedList() {
-            did.add("guess");
+            calls.add("usePersistedList");
         }
 
         @Override
         public void requestEndpointList(String member) {
-            did.add("ask " + member);
+            calls.add("requestEndpointList " + member);
         }
 
         @Override
         public void acceptStaleList() {
-            did.add("older");
+            calls.add("acceptStaleList");
         }
 
         @Override
         public void probeOrigin() {
-            did.add("probe");
+            calls.add("probeOrigin");
         }
 
         @Override
-        public void log(String line) {
-            did.add(line);
+        public void log(String message) {
+            calls.add(message);
         }
     }
 
-    private final Host host = new Host();
+    private final RecordingHost host = new RecordingHost();
     private long now = 1_000 * SECOND;
-    private long ops;
+    private long lastRequestId;
 
-    /** Four others and version 7 of the list are remembered. */
-    private final RecoveryCoordinator recovery = make(4, 7);
+    /** Four other members and version 7 of the endpoint list were persisted. */
+    private final RecoveryCoordinator recovery = coordinator(4, 7);
 
-    private RecoveryCoordinator make(int peers, long version) {
-        RestoredState trusted =
+    private RecoveryCoordinator coordinator(int peers, long version) {
+        RestoredState restored =
                 new RestoredState(
                         List.of(),
                         3,
@@ -107,7 +107,7 @@
                         List.of());
         return new RecoveryCoordinator(
                 SETTINGS,
-                trusted,
+                restored,
                 new RecoveryCoordinator.Deployment(
                         CATEGORIES, 5, new MachineKind(1), true, "p1", "a"),
                 RandomGeneratorFactory.of("L64X128MixRandom").create(1),
@@ -115,449 +115,479 @@
                 host);
     }
 
-    private static FleetSnapshot.Peer returning(String id, long version, int pace) {
+    private static FleetSnapshot.Peer recoveringPeer(String id, long version, int originLimit) {
         return new FleetSnapshot.Peer(
-                id, "a", Optional.of(RecoveryPhase.AWAIT_ENDPOINT_LIST), true, pace, version);
+                id,
+                "a",
+                Optional.of(RecoveryPhase.AWAIT_ENDPOINT_LIST),
+                true,
+                originLimit,
+                version);
     }
 
-    private static FleetSnapshot.Peer whole(String id, long version) {
+    private static FleetSnapshot.Peer peerWithFullState(String id, long version) {
         return new FleetSnapshot.Peer(id, "a", Optional.empty(), true, 0, version);
     }
 
-    private void sees(FleetSnapshot.Peer... others) {
-        recovery.fleetChanged(new FleetSnapshot(List.of(others)), now);
+    private void changeFleet(FleetSnapshot.Peer... peers) {
+        recovery.fleetChanged(new FleetSnapshot(List.of(peers)), now);
     }
 
-    private void passes(long span) {
-        for (long left = span; left > 0; left -= 100 * MILLI) {
-            now += Math.min(left, 100 * MILLI);
+    private void advanceBy(long duration) {
+        for (long left = duration; left > 0; left -= 100 * MILLISECOND) {
+            now += Math.min(left, 100 * MILLISECOND);
             recovery.advance(now);
         }
     }
 
-    private AdmissionDecision arrives(int category, long key) {
+    private AdmissionDecision admit(int category, long key) {
         return recovery.admit(
                 new IncomingRequest(
-                        new RequestId(++ops),
+                        new RequestId(++lastRequestId),
                         new CategoryId(category),
                         new KeyId(key),
-                        category == LOAN,
+                        category == AT_MOST_ONCE_WRITE,
                         false,
                         now + SECOND),
                 now);
     }
 
-    private AdmissionDecision.Kind kind(int category, long key) {
-        return arrives(category, key).kind();
+    private AdmissionDecision.Kind admitKind(int category, long key) {
+        return admit(category, key).kind();
     }
 
-    /** The last op's push to the origin ended, and with it the op. */
-    private void served(long op, boolean good, long took) {
-        recovery.attemptEnded(new RequestId(op), true, good, took, now);
-        recovery.requestAnswered(new RequestId(op));
+    /** Ends the only attempt of a request, which went to the origin, and the request with it. */
+    private void completeAtOrigin(long request, boolean succeeded, long duration) {
+        recovery.attemptEnded(new RequestId(request), true, succeeded, duration, now);
+        recovery.requestAnswered(new RequestId(request));
     }
 
-    /** To where reads are let through. */
-    private void toReads() {
-        sees(returning("p2", 7, 8), returning("p3", 7, 8));
+    /** Advances to the phase that serves reads. */
+    private void advanceToReads() {
+        changeFleet(recoveringPeer("p2", 7, 8), recoveringPeer("p3", 7, 8));
         recovery.unconfirmedListUsed(7, 0, now);
         recovery.originProbed(true, now);
-        passes(SECOND / 2);
+        advanceBy(SECOND / 2);
         assertEquals(RecoveryPhase.SERVE_READS, recovery.phase());
     }
 
     @Test
-    void aProxyThatMeetsAFleetWithPowerHoldsNothingBack() {
-        assertEquals(AdmissionDecision.Kind.REJECTED, kind(READ, 1));
-        sees(whole("p2", 9), whole("p3", 9), whole("p4", 9));
+    void aFleetThatKeptItsStateEndsTheRecoveryAtOnce() {
+        assertEquals(AdmissionDecision.Kind.REJECTED, admitKind(READ, 1));
+        changeFleet(
+                peerWithFullState("p2", 9), peerWithFullState("p3", 9), peerWithFullState("p4", 9));
         assertEquals(RecoveryPhase.AWAIT_ENDPOINT_LIST, recovery.phase());
         recovery.listReceived(9, 0, now);
         assertEquals(RecoveryPhase.SERVE_ALL, recovery.phase());
-        assertEquals(AdmissionDecision.Kind.ADMITTED, kind(READ, 1));
-        assertEquals(AdmissionDecision.Kind.ADMITTED, kind(LOAN, 1));
+        assertEquals(AdmissionDecision.Kind.ADMITTED, admitKind(READ, 1));
+        assertEquals(AdmissionDecision.Kind.ADMITTED, admitKind(AT_MOST_ONCE_WRITE, 1));
     }
 
-    /** Guards against a proxy that waits for a discovery which comes back last. */
+    /** Guards against a proxy that waits for discovery, although discovery recovers last. */
     @Test
     void aMajorityWithTheSameListConfirmsItWithoutDiscovery() {
-        sees(returning("p2", 7, 8));
-        passes(3 * SECOND);
+        changeFleet(recoveringPeer("p2", 7, 8));
+        advanceBy(3 * SECOND);
         assertEquals(RecoveryPhase.AWAIT_MEMBERS, recovery.phase());
-        sees(returning("p2", 7, 8), returning("p3", 7, 8));
+        changeFleet(recoveringPeer("p2", 7, 8), recoveringPeer("p3", 7, 8));
         assertEquals(RecoveryPhase.AWAIT_ENDPOINT_LIST, recovery.phase());
-        assertTrue(host.did.contains("guess"), host.did.toString());
+        assertTrue(host.calls.contains("usePersistedList"), host.calls.toString());
         assertFalse(recovery.isEndpointListConfirmed());
         recovery.unconfirmedListUsed(7, 0, now);
         assertTrue(recovery.isEndpointListConfirmed());
         assertEquals(RecoveryPhase.AWAIT_ORIGIN, recovery.phase());
     }
 
-    /** Guards against the oldest list of all, on the proxy that starts first. */
+    /** Guards against using an outdated list when the proxy that persisted it starts first. */
     @Test
-    void oneWithAnOlderListAsksForThatOfTheMajority() {
-        RecoveryCoordinator old = make(4, 3);
-        old.unconfirmedListUsed(3, 0, now);
-        old.fleetChanged(
+    void aProxyWithAnOlderListRequestsTheNewestOne() {
+        RecoveryCoordinator coordinator = coordinator(4, 3);
+        coordinator.unconfirmedListUsed(3, 0, now);
+        coordinator.fleetChanged(
                 new FleetSnapshot(
                         List.of(
-                                returning("p2", 7, 8),
-                                returning("p3", 7, 8),
-                                returning("p4", 8, 8))),
+                                recoveringPeer("p2", 7, 8),
+                                recoveringPeer("p3", 7, 8),
+                                recoveringPeer("p4", 8, 8))),
                 now);
-        assertFalse(old.isEndpointListConfirmed());
-        assertTrue(host.did.contains("ask p4"), host.did.toString());
-        old.unconfirmedListUsed(8, 0, now);
-        assertTrue(old.isEndpointListConfirmed());
+        assertFalse(coordinator.isEndpointListConfirmed());
+        assertTrue(host.calls.contains("requestEndpointList p4"), host.calls.toString());
+        coordinator.unconfirmedListUsed(8, 0, now);
+        assertTrue(coordinator.isEndpointListConfirmed());
     }
 
     @Test
-    void aloneItGoesOnWithCareAndNothingThatMayRunOnce() {
-        passes(10 * SECOND);
+    void withoutMembersOnlyIdempotentRequestsAreServed() {
+        advanceBy(10 * SECOND);
         assertEquals(RecoveryPhase.AWAIT_ENDPOINT_LIST, recovery.phase());
         recovery.unconfirmedListUsed(7, 0, now);
-        passes(10 * SECOND);
+        advanceBy(10 * SECOND);
         recovery.originProbed(true, now);
-        passes(SECOND);
+        advanceBy(SECOND);
         assertEquals(RecoveryPhase.SERVE_READS, recovery.phase());
-        assertEquals(AdmissionDecision.Kind.ADMITTED, kind(READ, 1));
-        assertEquals(AdmissionDecision.Reason.ENDPOINT_LIST_UNCONFIRMED, arrives(LOAN, 2).reason());
+        assertEquals(AdmissionDecision.Kind.ADMITTED, admitKind(READ, 1));
         assertEquals(
-                AdmissionDecision.Reason.ENDPOINT_LIST_UNCONFIRMED, arrives(KEYED, 2).reason());
+                AdmissionDecision.Reason.ENDPOINT_LIST_UNCONFIRMED,
+                admit(AT_MOST_ONCE_WRITE, 2).reason());
+        assertEquals(
+                AdmissionDecision.Reason.ENDPOINT_LIST_UNCONFIRMED,
+                admit(DEDUPLICATED, 2).reason());
         recovery.requestAnswered(new RequestId(1));
         recovery.listReceived(7, 0, now);
-        assertEquals(AdmissionDecision.Kind.ADMITTED, kind(LOAN, 2));
+        assertEquals(AdmissionDecision.Kind.ADMITTED, admitKind(AT_MOST_ONCE_WRITE, 2));
     }
 
     @Test
-    void aListOfDiscoverysThatIsOlderCountsOnlyAfterATime() {
+    void anOlderListFromDiscoveryIsUsedOnlyAfterTheTimeout() {
         recovery.listReceived(4, 0, now);
         assertFalse(recovery.isEndpointListConfirmed());
         assertEquals(7, recovery.endpointListFloor());
-        passes(9 * SECOND);
+        advanceBy(9 * SECOND);
         recovery.listReceived(4, 0, now);
-        assertFalse(host.did.contains("older"));
-        passes(2 * SECOND);
-        assertTrue(host.did.contains("older"));
+        assertFalse(host.calls.contains("acceptStaleList"));
+        advanceBy(2 * SECOND);
+        assertTrue(host.calls.contains("acceptStaleList"));
         assertEquals(0, recovery.endpointListFloor());
         recovery.listReceived(4, 0, now);
         assertTrue(recovery.isEndpointListConfirmed());
     }
 
     @Test
-    void writesAndTheDearestClassComeBeforeReads() {
-        sees(returning("p2", 7, 8), returning("p3", 7, 8));
+    void writesAndTheHighestPriorityAreServedBeforeReads() {
+        changeFleet(recoveringPeer("p2", 7, 8), recoveringPeer("p3", 7, 8));
         recovery.unconfirmedListUsed(7, 0, now);
         recovery.originProbed(true, now);
         assertEquals(RecoveryPhase.SERVE_WRITES, recovery.phase());
-        assertEquals(AdmissionDecision.Reason.NOT_YET_SERVED, arrives(READ, 1).reason());
-        assertEquals(AdmissionDecision.Kind.ADMITTED, kind(LOAN, 2));
-        served(ops, true, 10 * MILLI);
-        Set<AdmissionDecision.Reason> why = new HashSet<>();
+        assertEquals(AdmissionDecision.Reason.NOT_YET_SERVED, admit(READ, 1).reason());
+        assertEquals(AdmissionDecision.Kind.ADMITTED, admitKind(AT_MOST_ONCE_WRITE, 2));
+        completeAtOrigin(lastRequestId, true, 10 * MILLISECOND);
+        Set<AdmissionDecision.Reason> reasons = new HashSet<>();
         for (int key = 3; key < 20; key++) {
-            why.add(arrives(DEAR, key).reason());
-            recovery.requestAnswered(new RequestId(ops));
+            reasons.add(admit(HIGH_PRIORITY, key).reason());
+            recovery.requestAnswered(new RequestId(lastRequestId));
         }
         assertEquals(
                 Set.of(AdmissionDecision.Reason.NONE, AdmissionDecision.Reason.KEY_BEING_FETCHED),
-                why,
-                "each by its key's opener");
+                reasons,
+                "each key admitted or fetched by another member");
     }
 
     @Test
-    void theOriginIsAskedBeforeAnythingIsSentThere() {
-        sees(returning("p2", 7, 8), returning("p3", 7, 8));
+    void theOriginIsProbedBeforeRequestsAreSentToIt() {
+        changeFleet(recoveringPeer("p2", 7, 8), recoveringPeer("p3", 7, 8));
         recovery.unconfirmedListUsed(7, 0, now);
-        passes(2 * SECOND);
+        advanceBy(2 * SECOND);
         assertEquals(RecoveryPhase.AWAIT_ORIGIN, recovery.phase());
-        assertTrue(host.did.stream().filter("probe"::equals).count() >= 4);
+        assertTrue(host.calls.stream().filter("probeOrigin"::equals).count() >= 4);
         recovery.originProbed(false, now);
         assertEquals(RecoveryPhase.AWAIT_ORIGIN, recovery.phase());
         recovery.originProbed(true, now);
         assertEquals(RecoveryPhase.SERVE_WRITES, recovery.phase());
     }
 
-    /** Guards against clients that come back as one wave. */
+    /** Guards against rejected clients that all retry at the same time. */
     @Test
-    void whoIsTurnedAwayIsToldAnotherTimeThanTheNext() {
-        Set<Long> times = new HashSet<>();
+    void rejectedClientsGetDifferentRetryDelays() {
+        Set<Long> delays = new HashSet<>();
         for (int i = 0; i < 100; i++) {
-            AdmissionDecision verdict = arrives(READ, i);
-            assertEquals(AdmissionDecision.Reason.NOT_YET_SERVED, verdict.reason());
-            times.add(verdict.retryAfter());
+            AdmissionDecision decision = admit(READ, i);
+            assertEquals(AdmissionDecision.Reason.NOT_YET_SERVED, decision.reason());
+            delays.add(decision.retryAfter());
         }
-        long least = times.stream().mapToLong(each -> each).min().orElseThrow();
-        long most = times.stream().mapToLong(each -> each).max().orElseThrow();
-        assertTrue(times.size() > 90 && most > 2 * least, least + " to " + most);
+        long shortest = delays.stream().mapToLong(each -> each).min().orElseThrow();
+        long longest = delays.stream().mapToLong(each -> each).max().orElseThrow();
+        assertTrue(delays.size() > 90 && longest > 2 * shortest, shortest + " to " + longest);
     }
 
     @Test
-    void readsGoToTheOriginFewAtATimeAndMoreWhileItIsInTime() {
-        toReads();
-        List<Long> under = new ArrayList<>();
+    void theOriginLimitGrowsWhileTheOriginIsFastAndIsHalvedWhenItFails() {
+        advanceToReads();
+        List<Long> inFlight = new ArrayList<>();
         for (int key = 0; key < 100; key++) {
-            if (kind(DEAR, key) == AdmissionDecision.Kind.ADMITTED) {
-                under.add(ops);
+            if (admitKind(HIGH_PRIORITY, key) == AdmissionDecision.Kind.ADMITTED) {
+                inFlight.add(lastRequestId);
             }
         }
-        assertEquals(1, under.size()); // Eight among five.
-        int before = recovery.originLimit();
+        assertEquals(1, inFlight.size()); // An initial limit of 8, divided between 5 proxies.
+        int initialLimit = recovery.originLimit();
         for (int round = 0; round < 6; round++) {
-            under.forEach(op -> served(op, true, 15 * MILLI));
-            under.clear();
+            inFlight.forEach(request -> completeAtOrigin(request, true, 15 * MILLISECOND));
+            inFlight.clear();
             for (int key = 0; key < 100; key++) {
-                if (kind(DEAR, 1_000 * (round + 1) + key) == AdmissionDecision.Kind.ADMITTED) {
-                    under.add(ops);
+                if (admitKind(HIGH_PRIORITY, 1_000 * (round + 1) + key)
+                        == AdmissionDecision.Kind.ADMITTED) {
+                    inFlight.add(lastRequestId);
                 }
             }
         }
-        assertTrue(recovery.originLimit() >= 4 * before, "pace " + recovery.originLimit());
-        int grown = recovery.originLimit();
-        served(under.get(0), false, 300 * MILLI);
-        assertTrue(recovery.originLimit() <= grown / 2 + 1, "pace " + recovery.originLimit());
+        assertTrue(recovery.originLimit() >= 4 * initialLimit, "limit " + recovery.originLimit());
+        int grownLimit = recovery.originLimit();
+        completeAtOrigin(inFlight.get(0), false, 300 * MILLISECOND);
+        assertTrue(recovery.originLimit() <= grownLimit / 2 + 1, "limit " + recovery.originLimit());
     }
 
-    /** Guards against one proxy that opens all while the others have hardly begun. */
+    /** Guards against a proxy whose origin limit grows far above those of the other members. */
     @Test
-    void noProxyRunsFarAheadOfTheOthers() {
-        toReads();
+    void theOriginLimitIsCappedByThoseOfOtherMembers() {
+        advanceToReads();
         for (int i = 0; i < 40; i++) {
-            arrives(DEAR, i);
-            served(ops, true, 15 * MILLI);
+            admit(HIGH_PRIORITY, i);
+            completeAtOrigin(lastRequestId, true, 15 * MILLISECOND);
         }
         assertTrue(recovery.originLimit() > 10);
-        sees(returning("p2", 7, 2), returning("p3", 7, 2), returning("p4", 7, 30));
-        int taken = 0;
+        changeFleet(
+                recoveringPeer("p2", 7, 2),
+                recoveringPeer("p3", 7, 2),
+                recoveringPeer("p4", 7, 30));
+        int admitted = 0;
         for (int key = 500; key < 600; key++) {
-            taken += kind(DEAR, key) == AdmissionDecision.Kind.ADMITTED ? 1 : 0;
+            admitted += admitKind(HIGH_PRIORITY, key) == AdmissionDecision.Kind.ADMITTED ? 1 : 0;
         }
-        assertEquals(4, taken);
+        assertEquals(4, admitted);
     }
 
-    /** Guards against a fleet of a thousand, whose members tell their pace once a minute. */
+    /**
+     * Guards against outdated limits of other members that throttle a proxy for long: in a fleet of
+     * a thousand, members announce their origin limits only once a minute.
+     */
     @Test
-    void whatOthersToldLongAgoHoldsNobodyBackForLong() {
-        toReads();
+    void theCapByOtherMembersGrowsWithTime() {
+        advanceToReads();
         for (int i = 0; i < 40; i++) {
-            arrives(DEAR, i);
-            served(ops, true, 15 * MILLI);
+            admit(HIGH_PRIORITY, i);
+            completeAtOrigin(lastRequestId, true, 15 * MILLISECOND);
         }
-        int[] taken = new int[6];
+        int[] admitted = new int[6];
         for (int round = 0; round < 6; round++) {
             assertEquals(RecoveryPhase.SERVE_READS, recovery.phase());
-            sees(returning("p2", 7, 1), returning("p3", 7, 1), returning("p4", 7, 1));
-            List<Long> under = new ArrayList<>();
+            changeFleet(
+                    recoveringPeer("p2", 7, 1),
+                    recoveringPeer("p3", 7, 1),
+                    recoveringPeer("p4", 7, 1));
+            List<Long> inFlight = new ArrayList<>();
             for (int key = 0; key < 600; key++) {
-                if (kind(DEAR, 1_000 * (round + 1) + key) == AdmissionDecision.Kind.ADMITTED) {
-                    under.add(ops);
+                if (admitKind(HIGH_PRIORITY, 1_000 * (round + 1) + key)
+                        == AdmissionDecision.Kind.ADMITTED) {
+                    inFlight.add(lastRequestId);
                 }
             }
-            taken[round] = under.size();
-            under.forEach(op -> recovery.requestAnswered(new RequestId(op)));
-            passes(SECOND);
+            admitted[round] = inFlight.size();
+            inFlight.forEach(request -> recovery.requestAnswered(new RequestId(request)));
+            advanceBy(SECOND);
         }
-        assertTrue(taken[0] <= 4 && taken[5] >= 20, taken[0] + " and " + taken[5]);
+        assertTrue(admitted[0] <= 4 && admitted[5] >= 20, admitted[0] + " and " + admitted[5]);
     }
 
     @Test
     void aKeyThatIsBeingFetchedIsNotFetchedTwice() {
-        toReads();
-        assertEquals(AdmissionDecision.Kind.ADMITTED, kind(DEAR, 1));
-        long first = ops;
-        assertEquals(AdmissionDecision.Reason.KEY_BEING_FETCHED, arrives(READ, 1).reason());
-        served(first, true, 15 * MILLI);
+        advanceToReads();
+        assertEquals(AdmissionDecision.Kind.ADMITTED, admitKind(HIGH_PRIORITY, 1));
+        long first = lastRequestId;
+        assertEquals(AdmissionDecision.Reason.KEY_BEING_FETCHED, admit(READ, 1).reason());
+        completeAtOrigin(first, true, 15 * MILLISECOND);
         for (int i = 0; i < 50; i++) {
-            assertEquals(AdmissionDecision.Kind.ADMITTED, kind(READ, 1), "it is in its cache now");
+            assertEquals(AdmissionDecision.Kind.ADMITTED, admitKind(READ, 1), "the key is cached");
         }
     }
 
     @Test
-    void oneMemberOfAZoneFetchesAKeyAndTheOthersWaitAsLongAsThatTakes() {
-        toReads();
-        sees(returning("p2", 7, 8), returning("p3", 7, 8));
-        int mine = 0;
-        int waits = 0;
+    void oneMemberOfAZoneFetchesAKeyAndTheOthersWaitForTheFetch() {
+        advanceToReads();
+        changeFleet(recoveringPeer("p2", 7, 8), recoveringPeer("p3", 7, 8));
+        int admitted = 0;
+        int waiting = 0;
         for (int key = 0; key < 300; key++) {
-            AdmissionDecision verdict = arrives(DEAR, key);
-            mine += verdict.kind() == AdmissionDecision.Kind.ADMITTED ? 1 : 0;
-            waits += verdict.reason() == AdmissionDecision.Reason.KEY_BEING_FETCHED ? 1 : 0;
-            recovery.requestAnswered(new RequestId(ops));
+            AdmissionDecision decision = admit(HIGH_PRIORITY, key);
+            admitted += decision.kind() == AdmissionDecision.Kind.ADMITTED ? 1 : 0;
+            waiting += decision.reason() == AdmissionDecision.Reason.KEY_BEING_FETCHED ? 1 : 0;
+            recovery.requestAnswered(new RequestId(lastRequestId));
         }
         assertTrue(
-                mine > 60 && mine < 140 && mine + waits == 300,
-                mine + " mine, " + waits + " waited");
+                admitted > 60 && admitted < 140 && admitted + waiting == 300,
+                admitted + " admitted, " + waiting + " waiting");
         now += SECOND;
         for (int key = 0; key < 300; key++) {
-            assertEquals(AdmissionDecision.Kind.ADMITTED, kind(DEAR, key));
-            recovery.requestAnswered(new RequestId(ops));
+            assertEquals(AdmissionDecision.Kind.ADMITTED, admitKind(HIGH_PRIORITY, key));
+            recovery.requestAnswered(new RequestId(lastRequestId));
         }
     }
 
     @Test
-    void aRepeatWhoseFirstTryTheLossMayHideIsNotPushedAgain() {
-        long began = now;
-        toReads();
-        now = began + SECOND / 2;
-        CategoryId loan = new CategoryId(LOAN);
-        AdmissionDecision hidden =
+    void aRetryWhoseFirstAttemptMayHaveRunIsFailed() {
+        long startedAt = now;
+        advanceToReads();
+        now = startedAt + SECOND / 2;
+        CategoryId category = new CategoryId(AT_MOST_ONCE_WRITE);
+        AdmissionDecision sentBeforeStart =
                 recovery.admit(
                         new IncomingRequest(
-                                new RequestId(++ops),
-                                loan,
+                                new RequestId(++lastRequestId),
+                                category,
                                 new KeyId(1),
                                 true,
                                 true,
-                                began + SECOND / 2),
+                                startedAt + SECOND / 2),
                         now);
-        assertEquals(AdmissionDecision.Reason.OUTCOME_UNKNOWN, hidden.reason());
-        assertEquals(AdmissionDecision.Kind.FAILED, hidden.kind());
-        AdmissionDecision fresh =
+        assertEquals(AdmissionDecision.Reason.OUTCOME_UNKNOWN, sentBeforeStart.reason());
+        assertEquals(AdmissionDecision.Kind.FAILED, sentBeforeStart.kind());
+        AdmissionDecision sentAfterStart =
                 recovery.admit(
                         new IncomingRequest(
-                                new RequestId(++ops),
-                                loan,
+                                new RequestId(++lastRequestId),
+                                category,
                                 new KeyId(1),
                                 true,
                                 true,
-                                began + 2 * SECOND),
+                                startedAt + 2 * SECOND),
                         now);
-        assertEquals(AdmissionDecision.Kind.ADMITTED, fresh.kind());
+        assertEquals(AdmissionDecision.Kind.ADMITTED, sentAfterStart.kind());
         assertEquals(1, recovery.failedAsUnknown());
     }
 
-    /** A node that kept its marks knows the first try; one that started since does not. */
+    /**
+     * A node that has not restarted still has the idempotency key of the first attempt; a node that
+     * has started since may have lost it.
+     */
     @Test
-    void aDeduplicatedRepeatGoesOnlyWhereTheMarksAreKept() {
-        long began = now;
-        toReads();
-        IncomingRequest repeat =
+    void aDeduplicatedRetryIsAdmittedOnlyIfNoNodeHasRestartedSince() {
+        long startedAt = now;
+        advanceToReads();
+        IncomingRequest retry =
                 new IncomingRequest(
-                        new RequestId(++ops),
-                        new CategoryId(KEYED),
+                        new RequestId(++lastRequestId),
+                        new CategoryId(DEDUPLICATED),
                         new KeyId(1),
                         true,
                         true,
-                        began + SECOND / 2);
-        recovery.unconfirmedListUsed(7, began - 100 * SECOND, now);
-        assertEquals(AdmissionDecision.Kind.ADMITTED, recovery.admit(repeat, now).kind());
-        recovery.requestAnswered(repeat.id());
-        recovery.unconfirmedListUsed(7, began, now);
-        assertEquals(
-                AdmissionDecision.Reason.OUTCOME_UNKNOWN, recovery.admit(repeat, now).reason());
+                        startedAt + SECOND / 2);
+        recovery.unconfirmedListUsed(7, startedAt - 100 * SECOND, now);
+        assertEquals(AdmissionDecision.Kind.ADMITTED, recovery.admit(retry, now).kind());
+        recovery.requestAnswered(retry.id());
+        recovery.unconfirmedListUsed(7, startedAt, now);
+        assertEquals(AdmissionDecision.Reason.OUTCOME_UNKNOWN, recovery.admit(retry, now).reason());
     }
 
     @Test
-    void theReturnIsOverWhenNothingIsHeldBackAnyMore() {
-        toReads();
+    void recoveryEndsWhenTheOriginLimitRejectsNothing() {
+        advanceToReads();
         for (int i = 0; i < 30; i++) {
-            passes(SECOND / 10);
+            advanceBy(SECOND / 10);
             for (int n = 0; n < 5; n++) {
-                arrives(DEAR, i);
-                served(ops, true, 15 * MILLI);
+                admit(HIGH_PRIORITY, i);
+                completeAtOrigin(lastRequestId, true, 15 * MILLISECOND);
             }
         }
         assertEquals(RecoveryPhase.SERVE_ALL, recovery.phase());
-        assertEquals(AdmissionDecision.Kind.ADMITTED, kind(READ, 99));
+        assertEquals(AdmissionDecision.Kind.ADMITTED, admitKind(READ, 99));
     }
 
-    /** Guards against a pace that is kept for ever, where an origin never gets well. */
+    /** Guards against a recovery that never ends because the origin never becomes healthy. */
     @Test
-    void itOpensAtTheLatestAfterItsTime() {
-        toReads();
+    void recoveryEndsAfterTheMaximumDuration() {
+        advanceToReads();
         for (int i = 0; i < 1_200; i++) {
-            passes(SECOND / 10);
-            arrives(READ, i);
-            served(ops, false, SECOND / 4);
-            arrives(READ, i);
+            advanceBy(SECOND / 10);
+            admit(READ, i);
+            completeAtOrigin(lastRequestId, false, SECOND / 4);
+            admit(READ, i);
         }
         assertEquals(RecoveryPhase.SERVE_ALL, recovery.phase());
     }
 
-    /** Whatever happens in whatever order: the rules that no course may break. */
+    /**
+     * Whatever happens in whatever order, phases never go back and no request is admitted early.
+     */
     @Test
-    void noCourseBreaksTheRules() {
+    void randomEventsBreakNoInvariant() {
         for (long seed = 1; seed <= 2_000; seed++) {
-            course(RandomGeneratorFactory.of("L64X128MixRandom").create(seed), seed);
+            runRandomEvents(RandomGeneratorFactory.of("L64X128MixRandom").create(seed), seed);
         }
     }
 
-    private void course(RandomGenerator chance, long seed) {
+    private void runRandomEvents(RandomGenerator random, long seed) {
         now = 1_000 * SECOND;
-        RecoveryCoordinator one = make(chance.nextInt(6), chance.nextInt(3) == 0 ? 0 : 7);
-        RecoveryPhase last = RecoveryPhase.AWAIT_MEMBERS;
-        List<RequestId> under = new ArrayList<>();
+        RecoveryCoordinator coordinator =
+                coordinator(random.nextInt(6), random.nextInt(3) == 0 ? 0 : 7);
+        RecoveryPhase lastPhase = RecoveryPhase.AWAIT_MEMBERS;
+        List<RequestId> inFlight = new ArrayList<>();
         for (int step = 0; step < 200; step++) {
-            now += chance.nextInt(5_000);
-            switch (chance.nextInt(8)) {
+            now += random.nextInt(5_000);
+            switch (random.nextInt(8)) {
                 case 0 -> {
-                    List<FleetSnapshot.Peer> others = new ArrayList<>();
-                    for (int i = chance.nextInt(6); i > 0; i--) {
-                        others.add(
-                                chance.nextBoolean()
-                                        ? whole("p" + (i + 1), chance.nextInt(10))
-                                        : returning(
+                    List<FleetSnapshot.Peer> peers = new ArrayList<>();
+                    for (int i = random.nextInt(6); i > 0; i--) {
+                        peers.add(
+                                random.nextBoolean()
+                                        ? peerWithFullState("p" + (i + 1), random.nextInt(10))
+                                        : recoveringPeer(
                                                 "p" + (i + 1),
-                                                chance.nextInt(10),
-                                                1 + chance.nextInt(20)));
+                                                random.nextInt(10),
+                                                1 + random.nextInt(20)));
                     }
-                    one.fleetChanged(new FleetSnapshot(others), now);
+                    coordinator.fleetChanged(new FleetSnapshot(peers), now);
                 }
-                case 1 -> one.unconfirmedListUsed(chance.nextInt(10), 0, now);
-                case 2 -> one.listReceived(chance.nextInt(12), now - chance.nextInt(100), now);
-                case 3 -> one.originProbed(chance.nextBoolean(), now);
-                case 4 -> one.advance(now);
+                case 1 -> coordinator.unconfirmedListUsed(random.nextInt(10), 0, now);
+                case 2 ->
+                        coordinator.listReceived(
+                                random.nextInt(12), now - random.nextInt(100), now);
+                case 3 -> coordinator.originProbed(random.nextBoolean(), now);
+                case 4 -> coordinator.advance(now);
                 case 5 -> {
-                    if (!under.isEmpty()) {
-                        RequestId op = under.remove(chance.nextInt(under.size()));
-                        one.attemptEnded(
-                                op,
-                                chance.nextBoolean(),
-                                chance.nextBoolean(),
-                                chance.nextInt(3_000),
+                    if (!inFlight.isEmpty()) {
+                        RequestId request = inFlight.remove(random.nextInt(inFlight.size()));
+                        coordinator.attemptEnded(
+                                request,
+                                random.nextBoolean(),
+                                random.nextBoolean(),
+                                random.nextInt(3_000),
                                 now);
-                        one.requestAnswered(op);
+                        coordinator.requestAnswered(request);
                     }
                 }
                 default -> {
-                    int category = chance.nextInt(CATEGORIES.size());
-                    RequestId op = new RequestId(++ops);
-                    AdmissionDecision verdict =
-                            one.admit(
+                    int category = random.nextInt(CATEGORIES.size());
+                    RequestId request = new RequestId(++lastRequestId);
+                    AdmissionDecision decision =
+                            coordinator.admit(
                                     new IncomingRequest(
-                                            op,
+                                            request,
                                             new CategoryId(category),
-                                            chance.nextInt(9) == 0
+                                            random.nextInt(9) == 0
                                                     ? null
-                                                    : new KeyId(chance.nextInt(20)),
-                                            category == LOAN,
-                                            chance.nextBoolean(),
-                                            now + chance.nextLong(SECOND)),
+                                                    : new KeyId(random.nextInt(20)),
+                                            category == AT_MOST_ONCE_WRITE,
+                                            random.nextBoolean(),
+                                            now + random.nextLong(SECOND)),
                                     now);
-                    boolean once = CATEGORIES.get(category).effect() != Effect.IDEMPOTENT;
-                    boolean taken = verdict.kind() == AdmissionDecision.Kind.ADMITTED;
+                    boolean notIdempotent = CATEGORIES.get(category).effect() != Effect.IDEMPOTENT;
+                    boolean admitted = decision.kind() == AdmissionDecision.Kind.ADMITTED;
                     assertTrue(
-                            !taken || !once || one.isEndpointListConfirmed(),
-                            "seed " + seed + ": by a guess");
+                            !admitted || !notIdempotent || coordinator.isEndpointListConfirmed(),
+                            "seed " + seed + ": admitted with an unconfirmed list");
                     assertTrue(
-                            !taken || one.phase().compareTo(RecoveryPhase.SERVE_WRITES) >= 0,
-                            "seed " + seed + ": early");
+                            !admitted
+                                    || coordinator.phase().compareTo(RecoveryPhase.SERVE_WRITES)
+                                            >= 0,
+                            "seed " + seed + ": admitted too early");
                     assertTrue(
-                            verdict.kind() != AdmissionDecision.Kind.REJECTED
-                                    || verdict.retryAfter() > 0,
-                            "seed " + seed + ": told to come at once");
-                    if (taken) {
-                        under.add(op);
+                            decision.kind() != AdmissionDecision.Kind.REJECTED
+                                    || decision.retryAfter() > 0,
+                            "seed " + seed + ": rejected without a retry delay");
+                    if (admitted) {
+                        inFlight.add(request);
                     }
                 }
             }
             assertTrue(
-                    one.phase().compareTo(last) >= 0, "seed " + seed + ": back to " + one.phase());
-            last = one.phase();
+                    coordinator.phase().compareTo(lastPhase) >= 0,
+                    "seed " + seed + ": went back to " + coordinator.phase());
+            lastPhase = coordinator.phase();
         }
     }
 
     @Test
-    void whatIsTrustedItemByItem() {
-        PersistedState kept =
+    void eachPartOfThePersistedStateIsValidated() {
+        PersistedState persisted =
                 new PersistedState(
                         "c",
                         new PersistedState.LoggedState(4, 8, 6, List.of(5L)),
@@ -570,34 +600,36 @@
                                         new PersistedState.Peer("p3", "127.0.0.1:2", 2, 0, false)),
                                 new byte[0],
                                 PersistedState.NodeTrust.NONE));
-        RestoredState good = new StateValidator("c", "b", 1_010_000, 60_000).validate(kept);
-        assertEquals(List.of(5L), good.nodesInMaintenance());
+        RestoredState valid = new StateValidator("c", "b", 1_010_000, 60_000).validate(persisted);
+        assertEquals(List.of(5L), valid.nodesInMaintenance());
         assertEquals(
                 List.of(8L, 6L, 7L, 1L),
                 List.of(
-                        good.generation(),
-                        good.epochFloor(),
-                        good.endpointList().version(),
-                        (long) good.livePeers()));
-        assertTrue(good.isNodeTrustUsable());
-        for (long clock : new long[] {1_061_000, 900_000}) { // Too old, and of the future.
-            RestoredState part = new StateValidator("c", "b", clock, 60_000).validate(kept);
-            assertEquals(List.of(5L), part.nodesInMaintenance());
+                        valid.generation(),
+                        valid.epochFloor(),
+                        valid.endpointList().version(),
+                        (long) valid.livePeers()));
+        assertTrue(valid.isNodeTrustUsable());
+        for (long nowMillis : new long[] {1_061_000, 900_000}) { // Too old; ahead of the clock.
+            RestoredState unusable =
+                    new StateValidator("c", "b", nowMillis, 60_000).validate(persisted);
+            assertEquals(List.of(5L), unusable.nodesInMaintenance());
             assertEquals(
                     List.of(8L, 6L, 0L, 0L),
                     List.of(
-                            part.generation(),
-                            part.epochFloor(),
-                            part.endpointList().version(),
-                            (long) part.livePeers()));
-            assertFalse(part.isNodeTrustUsable());
+                            unusable.generation(),
+                            unusable.epochFloor(),
+                            unusable.endpointList().version(),
+                            (long) unusable.livePeers()));
+            assertFalse(unusable.isNodeTrustUsable());
         }
-        RestoredState other = new StateValidator("d", "b", 1_010_000, 60_000).validate(kept);
+        RestoredState ofOtherCluster =
+                new StateValidator("d", "b", 1_010_000, 60_000).validate(persisted);
         assertEquals(
                 List.of(0L, 0L, 0L),
                 List.of(
-                        other.generation(),
-                        other.epochFloor(),
-                        (long) other.nodesInMaintenance().size()));
+                        ofOtherCluster.generation(),
+                        ofOtherCluster.epochFloor(),
+                        (long) ofOtherCluster.nodesInMaintenance().size()));
     }
 }
