--- a/src/main/java/cairnbridge/recovery/AdmissionDecision.java
+++ b/src/main/java/cairnbridge/recovery/AdmissionDecision.java
@@ -16,7 +16,7 @@
     static final AdmissionDecision FAIL_UNKNOWN_OUTCOME =
             new AdmissionDecision(Kind.FAILED, Reason.OUTCOME_UNKNOWN, 0);
 
-    /** How a request is handled. */
+    /** The three outcomes of an admission decision. */
     public enum Kind {
         /** The request is routed as usual. */
         ADMITTED,
--- a/src/main/java/cairnbridge/recovery/EndpointListConfirmation.java
+++ b/src/main/java/cairnbridge/recovery/EndpointListConfirmation.java
@@ -34,13 +34,13 @@
         this.staleTimeout = staleTimeout;
     }
 
-    /** Notes that a list is in use that did not come from discovery. */
+    /** Records the use of a list that did not come from discovery. */
     void unconfirmedListUsed(long newVersion) {
         version = newVersion;
         fromDiscovery = false;
     }
 
-    /** Notes a list that discovery has sent; returns whether it is to be used. */
+    /** Records a list from discovery; returns whether the list is to be used. */
     boolean listReceived(long newVersion, long now) {
         if (newVersion < versionFloor && !staleAccepted) {
             if (!discoveryIsStale) {
@@ -110,7 +110,7 @@
     }
 
     /**
-     * Returns true once, as soon as discovery has sent only older lists for the timeout; older
+     * Returns true once, when discovery has sent only older lists for the whole timeout. Older
      * lists are used from then on. Guards against a discovery service that was restored from an old
      * backup, or counts versions from the start again: its lists would never be used.
      */
--- a/src/main/java/cairnbridge/recovery/FleetSnapshot.java
+++ b/src/main/java/cairnbridge/recovery/FleetSnapshot.java
@@ -13,12 +13,12 @@
  * @param peers the other live members whose metadata is known
  */
 public record FleetSnapshot(List<Peer> peers) {
-    /** Makes a defensive copy of the list. */
+    /** Makes a defensive copy of {@code peers}. */
     public FleetSnapshot {
         peers = List.copyOf(peers);
     }
 
-    /** Takes the other live members from a membership view. */
+    /** Creates a snapshot of the other live members in a membership view. */
     public static FleetSnapshot of(MembershipView view) {
         List<Peer> peers = new ArrayList<>();
         for (MemberState member : view.liveMembers()) {
--- a/src/main/java/cairnbridge/recovery/KeyAdmission.java
+++ b/src/main/java/cairnbridge/recovery/KeyAdmission.java
@@ -87,7 +87,7 @@
         fetches.merge(key, 1, Integer::sum);
     }
 
-    /** Notes the end of a fetch. If it succeeded, the key is cached from now on. */
+    /** Records the end of a fetch. If it succeeded, the key counts as cached. */
     void fetchEnded(KeyId key, boolean succeeded) {
         fetches.computeIfPresent(key, (same, count) -> count > 1 ? count - 1 : null);
         if (succeeded) {
--- a/src/main/java/cairnbridge/recovery/OriginConcurrencyLimit.java
+++ b/src/main/java/cairnbridge/recovery/OriginConcurrencyLimit.java
@@ -10,9 +10,9 @@
  * additive increase (Jacobson 1988).
  *
  * <p>An answer is late if it took more than twice the best recent latency and also exceeds the
- * useful latency. One late answer alone does not lower the limit. A member's limit is at most twice
- * the lower median of the limits of the other recovering members, so that no member recovers far
- * ahead of the others.
+ * useful latency. One late answer alone does not lower the limit. A member's limit is also capped
+ * at twice the lower median of the limits of the other recovering members, so that no member
+ * recovers far ahead of the others; this cap rises with time.
  */
 final class OriginConcurrencyLimit {
     private static final double LATE_FACTOR = 2;
@@ -48,7 +48,7 @@
     private boolean additive;
 
     /**
-     * Starts at an initial limit, and at one request if that is lower.
+     * Starts at an initial limit, but at least at one request.
      *
      * @param usefulLatency an answer within this time is never late
      */
--- a/src/main/java/cairnbridge/recovery/RecoveryAdmission.java
+++ b/src/main/java/cairnbridge/recovery/RecoveryAdmission.java
@@ -71,7 +71,7 @@
         keys.zoneMembersChanged(members);
     }
 
-    /** How many requests of this phase were not rejected for an unconfirmed endpoint list. */
+    /** The requests of this phase, except those rejected because the list is unconfirmed. */
     int requestsInPhase() {
         return requestsInPhase;
     }
--- a/src/main/java/cairnbridge/recovery/RecoveryCoordinator.java
+++ b/src/main/java/cairnbridge/recovery/RecoveryCoordinator.java
@@ -15,8 +15,8 @@
 
 /**
  * Takes one proxy through its recovery from a power loss. The proxy reports events, has each new
- * request admitted, and calls {@link #advance} regularly. If half of the fleet kept its state, the
- * proxy enters the last phase as soon as its endpoint list is confirmed.
+ * request admitted, and calls {@link #advance} regularly. If half of the fleet has its full state,
+ * the proxy enters the last phase as soon as its endpoint list is confirmed.
  */
 public final class RecoveryCoordinator {
     /** The persisted list is used if discovery has sent none within this time. */
@@ -25,13 +25,13 @@
     /** The interval of requests for another member's list, and of health checks of the origin. */
     private static final long REQUEST_INTERVAL = Ticks.SECOND / 2;
 
-    /** How long writes are served before reads. */
+    /** Reads are served this long after the first writes. */
     private static final long WRITES_ONLY_TIME = Ticks.SECOND / 4;
 
-    /** Recovery is over once the origin limit has rejected nothing for this long ... */
+    /** Recovery ends once the origin limit has rejected nothing for this long. */
     private static final long UNTHROTTLED_TIME = 2 * Ticks.SECOND;
 
-    /** ... and at least this many requests have arrived in the phase. */
+    /** Recovery does not end before this many requests have arrived while reads are served. */
     private static final int MIN_UNTHROTTLED_REQUESTS = 50;
 
     private static final long NEVER = Long.MIN_VALUE / 2;
@@ -108,7 +108,7 @@
         admission.phaseBegan(now);
     }
 
-    /** Handles a change of the membership view. */
+    /** Handles a change of the members, their endpoint lists or their origin limits. */
     public void fleetChanged(FleetSnapshot snapshot, long now) {
         fleet = Optional.of(snapshot);
         endpointList.fleetChanged(snapshot);
@@ -154,7 +154,7 @@
         advance(now);
     }
 
-    /** Handles a list from discovery. */
+    /** Handles a list from discovery, whether it is in use or too old. */
     void listReceived(long version, long newestNodeStart, long now) {
         if (endpointList.listReceived(version, now)) {
             unknownOutcomes.setNewestNodeStart(newestNodeStart);
@@ -167,7 +167,7 @@
         return endpointList.versionFloor();
     }
 
-    /** Handles the result of a health check. */
+    /** Handles the result of a health check; results of nodes other than the origin are ignored. */
     public void probeEnded(NodeId node, AttemptOutcome outcome, long now) {
         if (nodes.isOrigin(node)) {
             // An error is an answer as well: the origin runs.
--- a/src/main/java/cairnbridge/recovery/RestoredState.java
+++ b/src/main/java/cairnbridge/recovery/RestoredState.java
@@ -25,7 +25,7 @@
         int livePeers,
         boolean isNodeTrustUsable,
         List<String> report) {
-    /** Makes defensive copies of the lists. */
+    /** Makes defensive copies of the three lists. */
     public RestoredState {
         nodesInMaintenance = List.copyOf(nodesInMaintenance);
         contacts = List.copyOf(contacts);
--- a/src/main/java/cairnbridge/recovery/StateKeeper.java
+++ b/src/main/java/cairnbridge/recovery/StateKeeper.java
@@ -139,9 +139,9 @@
     }
 
     /** Converts the router's measurements to the form in which they are persisted. */
-    public static PersistedState.NodeTrust persistedTrust(WarmStartState learnt) {
+    public static PersistedState.NodeTrust persistedTrust(WarmStartState measured) {
         List<PersistedState.Node> nodes = new ArrayList<>();
-        learnt.nodes()
+        measured.nodes()
                 .forEach(
                         (id, trust) ->
                                 nodes.add(
@@ -150,7 +150,7 @@
                                                 trust.startedAt(),
                                                 trust.acceptedShare())));
         return new PersistedState.NodeTrust(
-                learnt.recordedAt(), learnt.originLatency(), learnt.sendsPerSecond(), nodes);
+                measured.recordedAt(), measured.originLatency(), measured.sendsPerSecond(), nodes);
     }
 
     /** Converts the other members of a view to the form in which they are persisted. */
--- a/src/main/java/cairnbridge/recovery/StateValidator.java
+++ b/src/main/java/cairnbridge/recovery/StateValidator.java
@@ -80,7 +80,7 @@
 
     /**
      * Reports the logged state, which is used whatever its age. Maintenance lasts until an operator
-     * ends it, and an outdated generation or epoch only makes this proxy skip numbers.
+     * ends it. Generations and epochs may skip numbers, so a persisted one does no harm as a floor.
      */
     private static void reportLogged(LoggedState logged, List<String> report) {
         report.add("holds: " + logged.nodesInMaintenance().size() + ", used whatever their age");
--- a/src/main/java/cairnbridge/store/PersistedState.java
+++ b/src/main/java/cairnbridge/store/PersistedState.java
@@ -29,7 +29,7 @@
         /** The state before the first record. */
         public static final LoggedState EMPTY = new LoggedState(0, 0, 0, List.of());
 
-        /** Makes a defensive copy of the list. */
+        /** Makes a defensive copy of {@code nodesInMaintenance}. */
         public LoggedState {
             nodesInMaintenance = List.copyOf(nodesInMaintenance);
         }
@@ -100,7 +100,7 @@
         public static final Content EMPTY =
                 new Content("", 0, EndpointList.NONE, List.of(), new byte[0], NodeTrust.NONE);
 
-        /** Makes a defensive copy of the list. */
+        /** Makes a defensive copy of {@code peers}. */
         public Content {
             peers = List.copyOf(peers);
         }
@@ -149,7 +149,7 @@
         /** Stands for missing measurements. */
         public static final NodeTrust NONE = new NodeTrust(0, 0, 0, List.of());
 
-        /** Makes a defensive copy of the list. */
+        /** Makes a defensive copy of {@code nodes}. */
         public NodeTrust {
             nodes = List.copyOf(nodes);
         }
@@ -164,7 +164,7 @@
      */
     public record Node(long id, long startedAt, double acceptedShare) {}
 
-    /** Rejects null. */
+    /** Rejects null in each component. */
     public PersistedState {
         Objects.requireNonNull(cluster);
         Objects.requireNonNull(logged);
--- a/src/main/java/cairnbridge/store/StateStore.java
+++ b/src/main/java/cairnbridge/store/StateStore.java
@@ -114,7 +114,7 @@
         return done;
     }
 
-    /** Logs if the current disk operation takes longer than a second; to be called regularly. */
+    /** Logs a disk operation that takes longer than a second, once; to be called regularly. */
     public void checkDisk() {
         long since = operationStartedAt;
         if (since != 0 && System.nanoTime() - since > SLOW_OPERATION_NANOS && !slow) {
--- a/src/test/java/cairnbridge/recovery/RecoveryCoordinatorTest.java
+++ b/src/test/java/cairnbridge/recovery/RecoveryCoordinatorTest.java
@@ -610,7 +610,8 @@
                         valid.endpointList().version(),
                         (long) valid.livePeers()));
         assertTrue(valid.isNodeTrustUsable());
-        for (long nowMillis : new long[] {1_061_000, 900_000}) { // Too old; ahead of the clock.
+        // At the first time the snapshot is too old, at the second it is ahead of the clock.
+        for (long nowMillis : new long[] {1_061_000, 900_000}) {
             RestoredState unusable =
                     new StateValidator("c", "b", nowMillis, 60_000).validate(persisted);
             assertEquals(List.of(5L), unusable.nodesInMaintenance());
--- a/src/test/java/cairnbridge/store/WriteAheadLogTest.java
+++ b/src/test/java/cairnbridge/store/WriteAheadLogTest.java
@@ -114,7 +114,7 @@
                 contents.faults().toString());
     }
 
-    /** Guards against files that pile up for as long as a proxy runs. */
+    /** Guards against files that accumulate for as long as a proxy runs. */
     @Test
     void onlyTwoSnapshotsAndTheLogsAfterThemAreRetained() throws Exception {
         WriteAheadLog writeAheadLog = new WriteAheadLog(new FileStorageDirectory(folder), "c");
