--- a/src/main/java/cairnbridge/recovery/RecoveryCoordinator.java
+++ b/src/main/java/cairnbridge/recovery/RecoveryCoordinator.java
@@ -315,7 +315,7 @@
         return admission.admit(request, phase, endpointList.isConfirmed(), now);
     }
 
-    /** Handles the end of an attempt of a request. */
+    /** Handles the end of an attempt, whose result adapts the origin limit if it was sent there. */
     public void attemptEnded(
             RequestId request, NodeId node, AttemptOutcome outcome, long duration, long now) {
         boolean wasSent = outcome != AttemptOutcome.NOT_SENT;
@@ -324,7 +324,7 @@
         attemptEnded(request, atOrigin, outcome == AttemptOutcome.SUCCESS, duration, now);
     }
 
-    /** Handles the end of an attempt; {@code atOrigin} if it shows how the origin is doing. */
+    /** Handles the end of an attempt; its result counts for the origin if {@code atOrigin}. */
     void attemptEnded(RequestId id, boolean atOrigin, boolean succeeded, long duration, long now) {
         if (phase == RecoveryPhase.SERVE_ALL) {
             return;
--- a/src/main/java/cairnbridge/store/StateStore.java
+++ b/src/main/java/cairnbridge/store/StateStore.java
@@ -131,7 +131,7 @@
         return !failing && !slow;
     }
 
-    /** The metrics of this store. */
+    /** Counters and timings of this store's disk operations. */
     public StoreMetrics metrics() {
         return metrics;
     }
