--- a/src/main/java/cairnbridge/recovery/RecoveryCoordinator.java
+++ b/src/main/java/cairnbridge/recovery/RecoveryCoordinator.java
@@ -235,7 +235,7 @@
         if (majority) {
             enter(
                     RecoveryPhase.AWAIT_ENDPOINT_LIST,
-                    "a majority of " + expectedMembers + " members is in view",
+                    "a majority of the fleet (expected size " + expectedMembers + ") is in view",
                     now);
         } else if (hasHalfOfFleetFullState()) {
             enter(
