--- a/src/main/java/cairnbridge/recovery/EndpointListHistory.java
+++ b/src/main/java/cairnbridge/recovery/EndpointListHistory.java
@@ -9,27 +9,30 @@
 import java.util.TreeMap;
 
 /**
- * Puts the lines of a discovery watch together to one whole endpoint list, in discovery's own form
- * (JSON), so that it can be persisted and passed on to members. Any thread may call it.
+ * Assembles the lines of a discovery watch into one whole endpoint list in discovery's JSON format,
+ * so that the list can be persisted and sent to other members. Thread-safe.
  */
 public final class EndpointListHistory {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String VERSION = "rev";
-    private static final String WHOLE = "all";
+    private static final String IS_WHOLE_LIST = "all";
     private static final String TARGETS = "targets";
     private static final String ID = "uid";
     private static final String STATE = "state";
     private static final String GONE = "Gone";
     private static final String STARTED_MILLIS = "boot_ms";
 
-    // All guarded by this object's lock.
+    // The fields below are guarded by this object's lock.
     private final Map<String, JsonNode> targets = new TreeMap<>();
     private long version;
 
-    /** The whole list, made when it is first needed after a change. */
-    private String text = "";
+    /** The whole list as JSON; empty from a change until the list is next requested. */
+    private String encodedList = "";
 
-    /** Applies a line; one that cannot be read, or an empty whole list, changes nothing. */
+    /**
+     * Applies a whole list or a change. A line that cannot be parsed is ignored, and a whole list
+     * without targets removes none.
+     */
     public synchronized void lineReceived(String line) {
         JsonNode root;
         try {
@@ -38,7 +41,7 @@
             return;
         }
         JsonNode changed = root.path(TARGETS);
-        if (root.path(WHOLE).asBoolean() && !changed.isEmpty()) {
+        if (root.path(IS_WHOLE_LIST).asBoolean() && !changed.isEmpty()) {
             targets.clear();
         }
         for (JsonNode target : changed) {
@@ -50,28 +53,29 @@
             }
         }
         version = root.path(VERSION).asLong(version);
-        text = "";
+        encodedList = "";
     }
 
-    /** The version of the list, 0 while there is none. */
+    /** The version of the list; 0 before the first line. */
     public synchronized long version() {
         return version;
     }
 
-    /** The whole list, empty while there is none. */
+    /** The whole list as JSON; empty while it has no targets. */
     public synchronized String endpointList() {
-        if (text.isEmpty() && !targets.isEmpty()) {
-            ObjectNode root = JSON.createObjectNode().put(VERSION, version).put(WHOLE, true);
+        if (encodedList.isEmpty() && !targets.isEmpty()) {
+            ObjectNode root =
+                    JSON.createObjectNode().put(VERSION, version).put(IS_WHOLE_LIST, true);
             ArrayNode all = root.putArray(TARGETS);
             targets.values().forEach(all::add);
-            text = root.toString();
+            encodedList = root.toString();
         }
-        return text;
+        return encodedList;
     }
 
     /**
-     * A list in which all nodes have just started: those of a persisted list may have lost their
-     * power as well.
+     * Sets the start time of all nodes in a list. Guards against treating the caches of a persisted
+     * list as warm: their nodes may have lost power as well.
      */
     public static String withStartTimes(String list, long unixMillis) {
         try {
--- a/src/main/java/cairnbridge/recovery/IncomingRequest.java
+++ b/src/main/java/cairnbridge/recovery/IncomingRequest.java
@@ -5,24 +5,24 @@
 import cairnbridge.decision.Ids.RequestId;
 
 /**
- * A new request, as far as recovery looks at it.
+ * The properties of a new request on which its admission during recovery depends.
  *
- * @param request its id
- * @param category its class
- * @param key what it is about; null if it names nothing
- * @param write whether it writes
- * @param repeat whether the client marks it as a retry
- * @param expires when the client stops waiting
+ * @param id the id of the request
+ * @param category the class of the request
+ * @param key the key that the request reads or writes; null if it has none
+ * @param isWrite whether the request is a write
+ * @param isRetry whether the client has marked the request as a retry
+ * @param deadline when the client stops waiting for an answer
  */
 public record IncomingRequest(
-        RequestId request,
+        RequestId id,
         CategoryId category,
         KeyId key,
-        boolean write,
-        boolean repeat,
-        long expires) {
-    /** Whether it reads a key. */
+        boolean isWrite,
+        boolean isRetry,
+        long deadline) {
+    /** Whether the request is a read of a key. */
     boolean isKeyedRead() {
-        return !write && key != null;
+        return !isWrite && key != null;
     }
 }
--- a/src/main/java/cairnbridge/recovery/RecoveryAdmission.java
+++ b/src/main/java/cairnbridge/recovery/RecoveryAdmission.java
@@ -11,23 +11,23 @@
 import java.util.Map;
 import java.util.random.RandomGenerator;
 
-/** Admits or rejects requests during recovery, and tells rejected clients when to come back. */
+/** Admits or rejects requests during recovery, and sets the retry delay of rejected ones. */
 final class RecoveryAdmission {
     private static final long MIN_RETRY_AFTER = 20 * Ticks.MILLISECOND;
     private static final long MAX_RETRY_AFTER = 2 * Ticks.SECOND;
 
-    /** For requests that come before their kind is served. */
-    private static final long EARLY_RETRY_AFTER = Ticks.SECOND / 2;
+    /** The mean retry delay of requests that the proxy does not serve yet. */
+    private static final long NOT_YET_SERVED_RETRY_AFTER = Ticks.SECOND / 2;
 
-    /** How long a fetch takes while that is not known. */
+    /** The assumed latency of a fetch from the origin before one has been measured. */
     private static final long DEFAULT_FETCH_LATENCY = 20 * Ticks.MILLISECOND;
 
-    /** The count of rejections halves in this time. */
+    /** The count of recent rejections is halved in this time. */
     private static final double REJECTION_HALF_LIFE = Ticks.SECOND;
 
-    /** A request that was admitted while its key may not be cached. */
+    /** An admitted request that counts towards the origin limit, as its key may not be cached. */
     private static final class AdmittedRequest {
-        /** The key that it fetches; null if it fetches none. */
+        /** The key that the request fetches; null if the request is not a read of a key. */
         private final KeyId key;
 
         private boolean succeeded;
@@ -40,30 +40,30 @@
     private final List<Category> categories;
     private final CategoryPriorities priorities;
     private final KeyAdmission keys;
-    private final OriginRateRamp originRamp;
+    private final OriginConcurrencyLimit originLimit;
     private final RandomGenerator random;
     private final Map<RequestId, AdmittedRequest> inFlight = new HashMap<>();
     private long failedAsUnknown;
     private long rejected;
     private int requestsInPhase;
-    private long heldBackAt;
+    private long throttledAt;
     private double recentRejections;
-    private long rejectedAt;
+    private long rejectionsUpdatedAt;
 
     RecoveryAdmission(
             List<Category> categories,
             String member,
-            OriginRateRamp originRamp,
+            OriginConcurrencyLimit originLimit,
             RandomGenerator random) {
         this.categories = categories;
-        this.originRamp = originRamp;
+        this.originLimit = originLimit;
         this.random = random;
         priorities = new CategoryPriorities(categories);
         keys = new KeyAdmission(member);
     }
 
     void phaseBegan(long now) {
-        heldBackAt = now;
+        throttledAt = now;
         requestsInPhase = 0;
     }
 
@@ -71,14 +71,14 @@
         keys.zoneMembersChanged(members);
     }
 
-    /** Requests since the present phase began. */
+    /** The requests of this phase, except those rejected because the list is unconfirmed. */
     int requestsInPhase() {
         return requestsInPhase;
     }
 
-    /** Whether nothing was held back for the origin's sake for this long. */
-    boolean isCalm(long duration, long now) {
-        return now - heldBackAt >= duration;
+    /** Whether the origin limit has rejected no request of the current phase for this long. */
+    boolean isUnthrottledFor(long duration, long now) {
+        return now - throttledAt >= duration;
     }
 
     long failedAsUnknown() {
@@ -97,25 +97,25 @@
     AdmissionDecision admit(
             IncomingRequest request, RecoveryPhase phase, boolean listConfirmed, long now) {
         int category = request.category().value();
-        boolean onlyOnce = categories.get(category).effect() != Effect.IDEMPOTENT;
-        if (onlyOnce && !listConfirmed) {
-            return reject(Reason.ENDPOINT_LIST_UNCONFIRMED, EARLY_RETRY_AFTER, now);
+        boolean notIdempotent = categories.get(category).effect() != Effect.IDEMPOTENT;
+        if (notIdempotent && !listConfirmed) {
+            return reject(Reason.ENDPOINT_LIST_UNCONFIRMED, NOT_YET_SERVED_RETRY_AFTER, now);
         }
         if (phase == RecoveryPhase.SERVE_ALL) {
             return AdmissionDecision.ADMIT;
         }
         requestsInPhase++;
-        boolean servedFirst = request.write() || onlyOnce || priorities.isHighest(category);
+        boolean prioritized = request.isWrite() || notIdempotent || priorities.isHighest(category);
         boolean served =
-                servedFirst
+                prioritized
                         ? phase.compareTo(RecoveryPhase.SERVE_WRITES) >= 0
                         : phase.compareTo(RecoveryPhase.SERVE_READS) >= 0;
         return served
-                ? admitWithinLimit(request, now)
-                : reject(Reason.NOT_YET_SERVED, EARLY_RETRY_AFTER, now);
+                ? admitWithinOriginLimit(request, now)
+                : reject(Reason.NOT_YET_SERVED, NOT_YET_SERVED_RETRY_AFTER, now);
     }
 
-    private AdmissionDecision admitWithinLimit(IncomingRequest request, long now) {
+    private AdmissionDecision admitWithinOriginLimit(IncomingRequest request, long now) {
         boolean read = request.isKeyedRead();
         if (read && keys.isCached(request.key())) {
             return AdmissionDecision.ADMIT;
@@ -125,12 +125,12 @@
             return reject(Reason.KEY_BEING_FETCHED, fetchDuration, now);
         }
         double share = priorities.limitShare(request.category().value());
-        if (inFlight.size() >= Math.max(1, originRamp.limit() * share)) {
-            // The more requests come that cannot be admitted, the later each is to come back.
-            double crowd = 1 + recentRejections / Math.max(1, originRamp.limit());
-            return reject(Reason.ORIGIN_LIMIT, (long) (fetchDuration * crowd), now);
+        if (inFlight.size() >= Math.max(1, originLimit.limit() * share)) {
+            // The more requests the limit has rejected recently, the longer the retry delay.
+            double backoff = 1 + recentRejections / Math.max(1, originLimit.limit());
+            return reject(Reason.ORIGIN_LIMIT, (long) (fetchDuration * backoff), now);
         }
-        inFlight.put(request.request(), new AdmittedRequest(read ? request.key() : null));
+        inFlight.put(request.id(), new AdmittedRequest(read ? request.key() : null));
         if (read) {
             keys.fetchStarted(request.key());
         }
@@ -138,8 +138,8 @@
     }
 
     private long fetchLatency() {
-        long known = originRamp.bestLatency();
-        return known == 0 ? DEFAULT_FETCH_LATENCY : known;
+        long measured = originLimit.bestLatency();
+        return measured == 0 ? DEFAULT_FETCH_LATENCY : measured;
     }
 
     private boolean isFetchedElsewhere(KeyId key, long fetchDuration, long now) {
@@ -147,16 +147,16 @@
     }
 
     /**
-     * Guards against clients that all come back at once: each is told another time, from half to
-     * one and a half of the delay.
+     * Rejects a request. Guards against clients that all retry at once: the retry delay is random,
+     * from half to one and a half of the given one.
      */
     private AdmissionDecision reject(Reason reason, long delay, long now) {
         rejected++;
         if (reason == Reason.ORIGIN_LIMIT) {
-            heldBackAt = now;
-            double halvings = (now - rejectedAt) / REJECTION_HALF_LIFE;
+            throttledAt = now;
+            double halvings = (now - rejectionsUpdatedAt) / REJECTION_HALF_LIFE;
             recentRejections = recentRejections * Math.pow(0.5, halvings) + 1;
-            rejectedAt = now;
+            rejectionsUpdatedAt = now;
         }
         long bounded = Math.min(MAX_RETRY_AFTER, Math.max(MIN_RETRY_AFTER, delay));
         return AdmissionDecision.reject(reason, bounded / 2 + random.nextLong(bounded));
