--- a/src/test/java/cairnbridge/proxy/AcceptorTest.java
+++ b/src/test/java/cairnbridge/proxy/AcceptorTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Listeners that share an address, and the moment in which one of them is closed. */
+/** Listeners that share an address: no connection is lost while one of them closes. */
 @Timeout(20)
 class AcceptorTest {
     private static final int CONNECTIONS = 32;
@@ -40,15 +40,19 @@
         }
     }
 
-    /** Answers each connection with its name. */
+    /** Sends its number, one byte, on each connection that it accepts. */
     private final class Listener {
         final Acceptor acceptor;
 
-        Listener(int name, BooleanSupplier canAccept, Acceptor.AcceptCall acceptCall)
+        Listener(int number, BooleanSupplier canAccept, Acceptor.AcceptCall acceptCall)
                 throws IOException {
             acceptor =
                     new Acceptor(
-                            address, BACKLOG, canAccept, each -> answer(each, name), acceptCall);
+                            address,
+                            BACKLOG,
+                            canAccept,
+                            each -> sendNumber(each, number),
+                            acceptCall);
             address = acceptor.address();
             acceptors.add(acceptor);
             ProxyTestSupport.daemon(
@@ -58,15 +62,15 @@
                     });
         }
 
-        Listener(int name) throws IOException {
-            this(name, () -> true, channel -> channel.accept());
+        Listener(int number) throws IOException {
+            this(number, () -> true, channel -> channel.accept());
         }
 
-        private void answer(SocketChannel channel, int name) {
+        private void sendNumber(SocketChannel channel, int number) {
             try {
-                channel.write(ByteBuffer.wrap(new byte[] {(byte) name}));
+                channel.write(ByteBuffer.wrap(new byte[] {(byte) number}));
             } catch (IOException e) {
-                // A connection that has gone again, as that which a listener makes to itself.
+                // The peer has closed already, as the probe of receivesNewConnections() may.
             }
         }
     }
@@ -77,22 +81,22 @@
         }
     }
 
-    /** The names of the listeners that have answered, a connection each. */
-    private List<Integer> answers() throws IOException {
-        List<Integer> names = new ArrayList<>();
+    /** Reads from each client connection the number of the listener that accepted it. */
+    private List<Integer> acceptingListeners() throws IOException {
+        List<Integer> numbers = new ArrayList<>();
         for (Socket each : clients) {
-            names.add(each.getInputStream().read());
+            numbers.add(each.getInputStream().read());
         }
-        return names;
+        return numbers;
     }
 
-    private List<Integer> allFrom(int name) {
-        return Collections.nCopies(clients.size(), name);
+    private List<Integer> allFrom(int number) {
+        return Collections.nCopies(clients.size(), number);
     }
 
-    /** Guards against a reset of what comes between the last accept and the close. */
+    /** Guards against a reset of connections that arrive between the last accept and the close. */
     @Test
-    void whatComesBetweenTheLastAcceptAndTheCloseGoesToTheOtherListener() throws Exception {
+    void connectionsBetweenTheLastAcceptAndTheCloseGoToTheOtherListener() throws Exception {
         AtomicBoolean stopping = new AtomicBoolean();
         Listener older =
                 new Listener(
@@ -111,12 +115,12 @@
         stopping.set(true);
         older.acceptor.stop();
 
-        assertEquals(allFrom(2), answers());
+        assertEquals(allFrom(2), acceptingListeners());
     }
 
-    /** Guards against the whole rest of the queue reset because one accept failed. */
+    /** Guards against a reset of all connections left in the queue because one accept failed. */
     @Test
-    void anAcceptThatFailsDuringTheStopLosesNothingOfTheQueue() throws Exception {
+    void aFailedAcceptDuringStopLosesNoQueuedConnection() throws Exception {
         AtomicInteger failures = new AtomicInteger(2);
         AtomicBoolean open = new AtomicBoolean();
         Listener listener =
@@ -133,22 +137,25 @@
 
         listener.acceptor.stop();
 
-        assertEquals(allFrom(1), answers());
+        assertEquals(allFrom(1), acceptingListeners());
     }
 
     @Test
-    void aListenerThatIsAloneKeepsItsConnections() throws Exception {
+    void aDivertWithoutAnotherListenerLosesNoConnection() throws Exception {
         Listener alone = new Listener(1);
         ConnectionDiverter.divert(alone.acceptor);
 
         connectAll();
 
-        assertEquals(allFrom(1), answers());
+        assertEquals(allFrom(1), acceptingListeners());
     }
 
-    /** Guards against a choice by the order of starts: the system moves listeners as one closes. */
+    /**
+     * Guards against selecting a listener by the order of starts: the system reorders the listeners
+     * of an address when one of them closes.
+     */
     @Test
-    void theOlderOfTheTwoThatAreLeftOfThreeDiverts() throws Exception {
+    void afterOneOfThreeListenersClosesTheOlderDivertsToTheNewer() throws Exception {
         Listener first = new Listener(1);
         Listener second = new Listener(2);
         Listener unused = new Listener(3);
@@ -158,11 +165,11 @@
         ConnectionDiverter.divert(second.acceptor);
         connectAll();
 
-        assertEquals(allFrom(3), answers());
+        assertEquals(allFrom(3), acceptingListeners());
     }
 
     @Test
-    void aListenerKnowsWhetherNewConnectionsComeToIt() throws Exception {
+    void aListenerDetectsWhetherItReceivesNewConnections() throws Exception {
         Listener older = new Listener(1);
         assertTrue(older.acceptor.receivesNewConnections());
         Listener younger = new Listener(2);
@@ -174,7 +181,7 @@
     }
 
     @Test
-    void anAddressOnWhichThisProcessDoesNotListenHasNoGroup() throws Exception {
+    void anAddressWithoutAListenerOfThisProcessHasNoGroup() throws Exception {
         Listener listener = new Listener(1);
         listener.acceptor.stop();
 
--- a/src/test/java/cairnbridge/proxy/AttemptTest.java
+++ b/src/test/java/cairnbridge/proxy/AttemptTest.java
@@ -29,11 +29,11 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * What was allowed when it was decided is asked again where the bytes leave, whatever the owner
- * thread does.
+ * The permission to send an attempt is checked again when its bytes are written, even while the
+ * coordinator thread is busy.
  */
 class AttemptTest {
-    private static final long LATEST = 50 * TickClock.TICKS_PER_MILLI;
+    private static final long LATEST_START = 50 * TickClock.TICKS_PER_MILLI;
     private long now = 1;
     private final TickClock clock =
             new TickClock() {
@@ -43,100 +43,109 @@
                 }
             };
 
-    /** Nobody empties it: the owner is busy for as long as the test lasts. */
-    private final EventQueue inbox = new EventQueue(99);
+    /** No coordinator thread polls this queue: it stands for one that is busy during the test. */
+    private final EventQueue eventQueue = new EventQueue(99);
 
-    private final ProxyMetrics figures = new ProxyMetrics(List.of("view"));
+    private final ProxyMetrics metrics = new ProxyMetrics(List.of("view"));
     private ClientExchange client;
     private UpstreamAttempt attempt;
     private boolean sent;
 
     @BeforeEach
-    void decide() {
+    void createAttempt() {
         client =
                 new ClientExchange(
-                        new ListenerState(clock, List.of("view"), figures),
-                        inbox,
-                        done -> {},
+                        new ListenerState(clock, List.of("view"), metrics),
+                        eventQueue,
+                        exchange -> {},
                         () -> {});
         client.method = "PUT";
         client.target = "/view/1";
         client.requestBody = new byte[100];
         attempt =
                 new UpstreamAttempt(
-                        client, new NodeId(1), 0, 2 * LATEST, LATEST, inbox, clock, figures);
+                        client,
+                        new NodeId(1),
+                        0,
+                        2 * LATEST_START,
+                        LATEST_START,
+                        eventQueue,
+                        clock,
+                        metrics);
     }
 
-    private void happens(AttemptRejection what) {
-        switch (what) {
+    private void causeRejection(AttemptRejection reason) {
+        switch (reason) {
             case CLIENT_GONE -> client.failed(new IOException("closed"));
             case OP_OVER -> client.sendPermit.revoke(AttemptRejection.OP_OVER);
             case NODE_CLOSED -> attempt.sendPermit.revoke(AttemptRejection.NODE_CLOSED);
-            default -> now = LATEST;
+            default -> now = LATEST_START;
         }
     }
 
-    private AttemptOutcome ending() {
-        ProxyEvent notice = inbox.poll();
-        return notice instanceof ProxyEvent.AttemptCompleted over ? over.outcome() : null;
+    private AttemptOutcome polledOutcome() {
+        ProxyEvent event = eventQueue.poll();
+        return event instanceof ProxyEvent.AttemptCompleted completed ? completed.outcome() : null;
     }
 
     @ParameterizedTest
     @EnumSource(AttemptRejection.class)
-    void whatIsNoLongerAllowedDoesNotBeginAndProvablyNeverRan(AttemptRejection what) {
+    void anAttemptRejectedBeforeItsFirstByteIsReportedAsNotSent(AttemptRejection reason) {
         assertNull(attempt.sendPermit.rejection(now));
-        happens(what);
+        causeRejection(reason);
         assertThrows(
                 IOException.class,
                 () -> attempt.produceRequest((request, entity, context) -> sent = true, null));
         assertFalse(sent);
-        assertEquals(AttemptOutcome.NOT_SENT, ending());
+        assertEquals(AttemptOutcome.NOT_SENT, polledOutcome());
         assertTrue(
-                figures.format().contains("refused." + what.name().toLowerCase() + ":1|c"),
-                figures.format());
+                metrics.format().contains("refused." + reason.name().toLowerCase() + ":1|c"),
+                metrics.format());
     }
 
     /**
-     * Guards against a long body whose last byte leaves after the idempotency window, or for
-     * nobody.
+     * Guards against a long body whose last byte is sent after the idempotency window, or when the
+     * client has disconnected or the request is already answered. A drain of the node is no reason
+     * to hold back the rest of a body.
      */
     @ParameterizedTest
     @EnumSource(AttemptRejection.class)
-    void theLastByteOfABodyIsHeldBackTooButForANodeThatDrainsMeanwhile(AttemptRejection what)
+    void theLastByteIsNotSentAfterARejectionUnlessTheNodeDrains(AttemptRejection reason)
             throws IOException {
-        OneByteChannel out = new OneByteChannel();
+        SlowChannel out = new SlowChannel();
         attempt.setBody(new ByteArrayBody(client.requestBody));
         attempt.produce(out);
         assertFalse(attempt.isWritten());
-        happens(what);
-        if (what == AttemptRejection.NODE_CLOSED) {
+        causeRejection(reason);
+        if (reason == AttemptRejection.NODE_CLOSED) {
             for (int i = 0; i < 3; i++) {
                 attempt.produce(out);
             }
             assertTrue(attempt.isWritten());
         } else {
             assertThrows(IOException.class, () -> attempt.produce(out));
-            assertEquals(AttemptOutcome.NOT_SENT, ending());
-            assertEquals(40, out.taken);
+            assertEquals(AttemptOutcome.NOT_SENT, polledOutcome());
+            assertEquals(40, out.acceptedBytes);
         }
     }
 
     /**
-     * Guards against a node that goes on with an answer whose client was gone as it began to pass.
+     * Guards against a node that continues to send a response although its client disconnected when
+     * the response head was written.
      */
     @Test
-    void aClientWhoseConnectionBreaksUnderTheHeadOfAnAnswerHasGone() throws Exception {
+    void aClientIsDisconnectedIfItsResponseHeadCannotBeWritten() throws Exception {
         BasicHttpRequest request = new BasicHttpRequest("GET", "/view/1");
         request.addHeader(ClientExchange.TRACE_ID_HEADER, "9b1f");
         request.addHeader(ClientExchange.TTL_HEADER, "900m");
-        AtomicBoolean ended = new AtomicBoolean();
+        AtomicBoolean exchangeTerminated = new AtomicBoolean();
         client.handleRequest(
                 request,
                 null,
                 new ResponseChannel() {
                     @Override
                     public void sendInformation(HttpResponse response, HttpContext context) {
-                        // None is sent.
+                        // The exchange sends no 1xx response in this test.
                     }
 
                     @Override
@@ -149,23 +158,23 @@
                     @Override
                     public void pushPromise(
                             HttpRequest promise, AsyncPushProducer producer, HttpContext context) {
-                        // None is made.
+                        // The proxy makes no push promises.
                     }
 
                     @Override
                     public void terminateExchange() {
-                        ended.set(true);
+                        exchangeTerminated.set(true);
                     }
                 },
                 null);
         assertFalse(client.hasClientDisconnected());
         client.streamAnswer(client.createPipe(-1));
-        assertTrue(client.hasClientDisconnected() && ended.get());
+        assertTrue(client.hasClientDisconnected() && exchangeTerminated.get());
     }
 
     @Test
-    void theFirstCauseStaysAndTheLatestBeginIsTheFirstMomentTooLate() {
-        now = LATEST - 1;
+    void theFirstRevocationReasonRemainsAndTheLatestStartTimeIsTooLate() {
+        now = LATEST_START - 1;
         assertNull(attempt.sendPermit.rejection(now));
         attempt.sendPermit.revoke(AttemptRejection.NODE_CLOSED);
         attempt.sendPermit.revoke(AttemptRejection.OP_OVER);
@@ -173,34 +182,35 @@
         assertEquals(AttemptRejection.NODE_CLOSED, attempt.sendPermit.rejection(now));
         assertEquals(AttemptRejection.CLIENT_GONE, attempt.sendPermit.rejectionOfLastByte(now));
         assertEquals(
-                AttemptRejection.TOO_LATE, new SendPermit().forAttempt(LATEST).rejection(LATEST));
+                AttemptRejection.TOO_LATE,
+                new SendPermit().forAttempt(LATEST_START).rejection(LATEST_START));
     }
 
-    /** Takes forty bytes at a time, as a connection does whose other side is slow. */
-    private static final class OneByteChannel implements DataStreamChannel {
-        int taken;
+    /** Accepts forty bytes per write, like a connection to a peer that reads slowly. */
+    private static final class SlowChannel implements DataStreamChannel {
+        int acceptedBytes;
 
         @Override
         public int write(ByteBuffer src) {
             int count = Math.min(40, src.remaining());
             src.position(src.position() + count);
-            taken += count;
+            acceptedBytes += count;
             return count;
         }
 
         @Override
         public void requestOutput() {
-            // The test asks by itself.
+            // Ignored: the test calls produce() itself.
         }
 
         @Override
         public void endStream() {
-            // No more follows.
+            // The test examines only the bytes written.
         }
 
         @Override
         public void endStream(List<? extends Header> trailers) {
-            // No more follows.
+            // The test examines only the bytes written.
         }
     }
 }
--- a/src/test/java/cairnbridge/proxy/DescriptorBudgetTest.java
+++ b/src/test/java/cairnbridge/proxy/DescriptorBudgetTest.java
@@ -13,45 +13,53 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** The descriptors that clients may take up, and those that are kept for servers. */
+/** The descriptors that clients may use, and those reserved for connections to servers. */
 class DescriptorBudgetTest extends ProxyTestSupport {
-    private static final int CROWD = 150;
-    private static final int SMALL_LIMIT = 96;
+    private static final int CLIENT_COUNT = 150;
+    private static final int DESCRIPTOR_LIMIT = 96;
 
-    /** Of 96 descriptors: the watch, and one for each attempt of a few requests. */
+    /**
+     * Reserved of 96 descriptors: for the discovery watch, and for the attempts of a few requests.
+     */
     private static final int RESERVED_FOR_SERVERS = 9;
 
     private final AtomicInteger connected = new AtomicInteger();
     private final AtomicBoolean exhausted = new AtomicBoolean();
-    private final AtomicInteger mostPending = new AtomicInteger();
+    private final AtomicInteger maxPending = new AtomicInteger();
     private volatile ConnectionReactor reactor;
 
-    /** Holds the reactor up, within one of its turns, until all that can be is accepted. */
-    private void awaitFullQueue() {
+    /**
+     * Called on the reactor thread. Blocks it, for at most 100 ms, until as many connections are
+     * accepted as may be pending.
+     */
+    private void delayReactor() {
         DescriptorBudget budget = reactor.budget();
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(100);
         while (budget.canAccept() && System.nanoTime() - deadlineNanos < 0) {
             Thread.onSpinWait();
         }
-        mostPending.accumulateAndGet(budget.pendingAccepted(), Math::max);
+        maxPending.accumulateAndGet(budget.pendingAccepted(), Math::max);
         if (reactor.isExhausted()) {
             exhausted.set(true);
         }
     }
 
-    /** Guards against a 503 because clients that are turned away hold what servers are owed. */
+    /**
+     * Guards against a 503 because connections of rejected clients use descriptors that are
+     * reserved for connections to servers.
+     */
     @Test
-    void clientsThatAreRejectedTakeNoneOfTheDescriptorsKeptForServers() throws Exception {
-        maxSockets = SMALL_LIMIT;
+    void rejectedClientsUseNoDescriptorsReservedForServers() throws Exception {
+        maxSockets = DESCRIPTOR_LIMIT;
         ProxyConfig config = config(endpointListJson(1, true), "127.0.0.1:9");
         ListenerState listenerState =
                 new ListenerState(clock, List.of(), new ProxyMetrics(List.of()));
-        EventQueue eventQueue = new EventQueue(SMALL_LIMIT);
+        EventQueue eventQueue = new EventQueue(DESCRIPTOR_LIMIT);
         reactor =
                 new ConnectionReactor(
                         config,
                         new ClientExchangeFactory(listenerState, eventQueue),
-                        this::awaitFullQueue,
+                        this::delayReactor,
                         closed -> {},
                         listenerState,
                         Thread::new);
@@ -63,20 +71,20 @@
         reactor.listen(new InetSocketAddress("127.0.0.1", 0));
 
         InetSocketAddress address = reactor.address();
-        for (int i = 0; i < CROWD; i++) {
+        for (int i = 0; i < CLIENT_COUNT; i++) {
             Socket client = new Socket(address.getAddress(), address.getPort());
             opened.add(client);
             connected.incrementAndGet();
         }
         waitUntil(() -> reactor.budget().canAccept());
 
-        assertFalse(exhausted.get(), "one descriptor of those kept for servers is free");
-        assertEquals(CROWD, connected.get());
-        assertFalse(mostPending.get() > DescriptorBudget.MAX_PENDING_ACCEPTED);
+        assertFalse(exhausted.get(), "the descriptors reserved for servers are used up");
+        assertEquals(CLIENT_COUNT, connected.get());
+        assertFalse(maxPending.get() > DescriptorBudget.MAX_PENDING_ACCEPTED);
     }
 
     @Test
-    void theSmallestLimitBesideAnAdminEndpointStillAdmitsClients() throws Exception {
+    void theSmallestDescriptorLimitWithAnAdminEndpointAdmitsClients() throws Exception {
         maxSockets = 64;
         extraConfig = "\"admin_addr\":\"127.0.0.1:0\",";
         start();
--- a/src/test/java/cairnbridge/proxy/PipeTest.java
+++ b/src/test/java/cairnbridge/proxy/PipeTest.java
@@ -13,14 +13,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a body that passes through knows of its end while it is written. */
+/** How a {@link BodyPipe} determines that it is writing the last chunk of a body. */
 class PipeTest {
     private static final String BODY = "hello";
 
-    /** Notes at each write whether the pipe takes it for the last. */
+    /** Records at each write whether the pipe reports it as the last chunk. */
     private static final class RecordingChannel implements DataStreamChannel {
         private final BodyPipe pipe;
-        private final List<Boolean> lastOut = new ArrayList<>();
+        private final List<Boolean> lastChunkFlags = new ArrayList<>();
 
         RecordingChannel(BodyPipe pipe) {
             this.pipe = pipe;
@@ -29,7 +29,7 @@
         @Override
         public int write(ByteBuffer source) {
             int count = source.remaining();
-            lastOut.add(pipe.isWritingLastChunk());
+            lastChunkFlags.add(pipe.isWritingLastChunk());
             source.position(source.limit());
             return count;
         }
@@ -44,17 +44,20 @@
         public void endStream(List<? extends Header> trailers) {}
     }
 
-    /** Guards against a client's next request refused because the client knew the end first. */
+    /**
+     * Guards against rejecting the client's next request: a client that knows the length may send
+     * it before the pipe's producer has called finish().
+     */
     @ParameterizedTest
     @CsvSource({"5, true", "6, false", "-1, false"})
-    void theLastByteIsKnownByTheLengthBeforeTheGiverEnds(long length, boolean last)
-            throws IOException {
+    void theLastChunkIsDeterminedByTheLengthBeforeTheProducerFinishes(
+            long length, boolean expectedLast) throws IOException {
         BodyPipe pipe = new BodyPipe(new AtomicLong(), length);
-        RecordingChannel taker = new RecordingChannel(pipe);
+        RecordingChannel channel = new RecordingChannel(pipe);
 
         pipe.append(ByteBuffer.wrap(BODY.getBytes(StandardCharsets.US_ASCII)));
-        pipe.writeTo(taker);
+        pipe.writeTo(channel);
 
-        assertEquals(List.of(last), taker.lastOut);
+        assertEquals(List.of(expectedLast), channel.lastChunkFlags);
     }
 }
--- a/src/test/java/cairnbridge/proxy/ProxyTest.java
+++ b/src/test/java/cairnbridge/proxy/ProxyTest.java
@@ -34,14 +34,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Stories of one proxy on real sockets. */
+/** Runs a proxy on real sockets, among stub servers, in this JVM or as a process. */
 class ProxyTest extends ProxyTestSupport {
     @Test
-    void aReadGoesOnAsItCameAndItsAnswerComesBackUnchanged() throws Exception {
+    void aReadIsForwardedWithItsTraceIdAndRemainingTtlAndItsResponseIsReturned() throws Exception {
         start();
-        String answer = sendRequest("GET /view/7f3a?size=2", ttlHeader(800), "");
-        assertEquals(200, statusCode(answer));
-        assertEquals("kept", bodyOf(answer));
+        String response = sendRequest("GET /view/7f3a?size=2", ttlHeader(800), "");
+        assertEquals(200, statusCode(response));
+        assertEquals("kept", bodyOf(response));
         assertEquals(1, cache.requests.size());
         assertTrue(
                 cache.requests.get(0).startsWith("GET /view/7f3a?size=2 HTTP/1.1\r\n"),
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void aMissIsFetchedFromTheOrigin() throws Exception {
+    void aCacheMissIsFetchedFromTheOrigin() throws Exception {
         cacheHandler = request -> MISS;
         start();
         assertEquals("fetched", bodyOf(sendRequest("GET /view/7f3a", ttlHeader(800), "")));
@@ -62,9 +62,9 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 5000, 64 * 1024})
-    void aWriteCarriesItsBodyAndItsMarkToTheOrigin(int size) throws Exception {
+    void aWriteReachesTheOriginWithItsBodyAndIdempotencyKey(int size) throws Exception {
         start();
-        String value =
+        String body =
                 IntStream.range(0, size)
                         .mapToObj(i -> String.valueOf((char) (i % 256)))
                         .collect(Collectors.joining());
@@ -74,8 +74,8 @@
                         sendRequest(
                                 "PUT /loan/7f3a",
                                 ttlHeader(800) + "Idempotency-Key: k1\r\n",
-                                value)));
-        assertEquals(value, bodyOf(origin.requests.get(0)));
+                                body)));
+        assertEquals(body, bodyOf(origin.requests.get(0)));
         assertTrue(origin.requests.get(0).contains("Idempotency-Key: k1\r\n"));
         assertEquals(0, cache.requests.size());
     }
@@ -93,23 +93,25 @@
                 "DELETE /view/1 | X-Trace-Id: 1;X-Expires-In: 500m | 0",
                 "nonsense | X-Trace-Id: 1 | 0"
             })
-    void aMalformedRequestIsAnswered400AndNothingIsPushed(String line, String headers, int size)
-            throws Exception {
+    void aMalformedRequestIsAnswered400WithoutAnAttempt(
+            String requestLine, String headers, int bodySize) throws Exception {
         start();
         assertEquals(
                 400,
                 statusCode(
                         sendRequest(
-                                line, headers.replace(";", "\r\n") + "\r\n", "x".repeat(size))));
+                                requestLine,
+                                headers.replace(";", "\r\n") + "\r\n",
+                                "x".repeat(bodySize))));
         assertEquals(200, statusCode(sendRequest("GET /view/1", ttlHeader(800), "")));
         assertEquals(List.of(1, 0), List.of(cache.requests.size(), origin.requests.size()));
     }
 
     @Test
-    void aRefusedConnectionProvesThatTheOpNeverRan() throws Exception {
-        StandInServer gone = new StandInServer(request -> HIT);
-        gone.close();
-        start(endpointJson("gone", gone.address(), "cache", "Ready"));
+    void readsSucceedWhileOneCacheRefusesConnections() throws Exception {
+        StandInServer stoppedCache = new StandInServer(request -> HIT);
+        stoppedCache.close();
+        start(endpointJson("gone", stoppedCache.address(), "cache", "Ready"));
         for (int key = 0; key < 20; key++) {
             assertEquals(200, statusCode(sendRequest("GET /view/" + key, ttlHeader(800), "")));
         }
@@ -126,101 +128,108 @@
                 "429 Busy||; 502; 1",
                 "503 Full|X-Never-Ran: 1|; 503; 2"
             })
-    void anAtMostOnceOpIsPushedAgainOrNackedOnlyWithProof(String does, int code, int least)
-            throws Exception {
-        originHandler = request -> does;
+    void anAtMostOnceRequestIsRetriedAndAnswered503OnlyIfProvablyNotExecuted(
+            String response, int expectedStatus, int minAttempts) throws Exception {
+        originHandler = request -> response;
         start();
-        assertEquals(code, statusCode(sendRequest("PUT /loan/1", ttlHeader(500), "v")));
-        int pushes = origin.requests.size();
-        assertTrue(least == 1 ? pushes == 1 : pushes >= least, "pushes " + pushes);
+        assertEquals(expectedStatus, statusCode(sendRequest("PUT /loan/1", ttlHeader(500), "v")));
+        int attempts = origin.requests.size();
+        assertTrue(
+                minAttempts == 1 ? attempts == 1 : attempts >= minAttempts,
+                "attempts: " + attempts);
     }
 
     @Test
-    void aBrokenReadIsPushedAgain() throws Exception {
-        AtomicInteger pushes = new AtomicInteger();
-        cacheHandler = request -> pushes.incrementAndGet() == 1 ? RESET_CONNECTION : HIT;
-        StandInServer second = new StandInServer(cacheHandler);
-        start(endpointJson("second", second.address(), "cache", "Ready"));
+    void aReadIsRetriedAtAnotherNodeAfterAConnectionReset() throws Exception {
+        AtomicInteger attempts = new AtomicInteger();
+        cacheHandler = request -> attempts.incrementAndGet() == 1 ? RESET_CONNECTION : HIT;
+        StandInServer secondCache = new StandInServer(cacheHandler);
+        start(endpointJson("second", secondCache.address(), "cache", "Ready"));
         assertEquals(200, statusCode(sendRequest("GET /view/1", ttlHeader(900), "")));
-        assertEquals(List.of(1, 1), List.of(cache.requests.size(), second.requests.size()));
+        assertEquals(List.of(1, 1), List.of(cache.requests.size(), secondCache.requests.size()));
     }
 
     @ParameterizedTest
     @CsvSource({"GET /view/1, 503", "PUT /loan/1, 502"})
-    void aSilentServerCostsItsConnectionAndTheClientIsAnsweredInTime(String line, int code)
-            throws Exception {
+    void aRequestToASilentServerIsAnsweredAtItsDeadlineAndTheServerConnectionClosed(
+            String requestLine, int expectedStatus) throws Exception {
         cacheHandler = request -> SILENT;
         originHandler = request -> SILENT;
         start();
-        long sent = System.nanoTime();
-        String answer = sendRequest(line, ttlHeader(300), line.startsWith("PUT") ? "v" : "");
-        assertEquals(code, statusCode(answer));
+        long sentNanos = System.nanoTime();
+        String response =
+                sendRequest(requestLine, ttlHeader(300), requestLine.startsWith("PUT") ? "v" : "");
+        assertEquals(expectedStatus, statusCode(response));
         assertEquals(
-                code == 503, answer.matches("(?s).*Retry-After: [0-2]\\.\\d{4}\r\n.*"), answer);
-        long millis = (System.nanoTime() - sent) / 1_000_000;
+                expectedStatus == 503,
+                response.matches("(?s).*Retry-After: [0-2]\\.\\d{4}\r\n.*"),
+                response);
+        long millis = (System.nanoTime() - sentNanos) / 1_000_000;
         assertTrue(millis < 370, "answered after " + millis);
         waitUntil(() -> cache.endedConnections.get() + origin.endedConnections.get() == 1);
     }
 
     @Test
-    void aClientThatClosesTakesItsPushWithIt() throws Exception {
+    void anAttemptIsAbortedWhenItsClientDisconnects() throws Exception {
         cacheHandler = request -> SILENT;
         start();
-        Socket leaving = connectClient();
-        send(leaving, "GET /view/1", ttlHeader(60_000), "");
+        Socket client = connectClient();
+        send(client, "GET /view/1", ttlHeader(60_000), "");
         waitUntil(() -> cache.requests.size() == 1);
-        leaving.close();
+        client.close();
         waitUntil(() -> cache.endedConnections.get() == 1);
     }
 
     @Test
-    void connectionsAreKeptOnBothSides() throws Exception {
+    void connectionsToClientsAndNodesAreReused() throws Exception {
         start();
-        Socket keeping = connectClient();
+        Socket client = connectClient();
         for (int i = 0; i < 5; i++) {
-            send(keeping, "GET /view/1", ttlHeader(800), "");
-            assertEquals(200, statusCode(readMessage(keeping)));
+            send(client, "GET /view/1", ttlHeader(800), "");
+            assertEquals(200, statusCode(readMessage(client)));
         }
         assertEquals(1, cache.connections.size());
     }
 
     @Test
-    void anIdleConnectionGoesBeforeTheNodeWouldCloseIt() throws Exception {
-        idleSeconds = 0.3;
+    void anIdleConnectionIsClosedBeforeTheKeepAliveTimeoutOfItsNode() throws Exception {
+        keepAliveSeconds = 0.3;
         start();
         sendRequest("GET /view/1", ttlHeader(800), "");
-        long answered = System.nanoTime();
+        long answeredNanos = System.nanoTime();
         waitUntil(() -> cache.endedConnections.get() == 1);
-        assertTrue(System.nanoTime() - answered < 300_000_000L);
+        assertTrue(System.nanoTime() - answeredNanos < 300_000_000L);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"Terminating", "Gone"})
-    void aNodeThatDrainsOrIsGoneGetsNothingNew(String state) throws Exception {
-        StandInServer leaving = new StandInServer(request -> HIT);
-        CountDownLatch change = new CountDownLatch(1);
+    void aDrainingOrRemovedNodeGetsNoNewRequests(String state) throws Exception {
+        StandInServer leavingNode = new StandInServer(request -> HIT);
+        CountDownLatch sendUpdate = new CountDownLatch(1);
         discoveryHandler =
                 request -> {
-                    change.await();
+                    sendUpdate.await();
+                    // The endpoints "odd" and "x" are invalid: an address without port, and an
+                    // unknown state.
                     return "200 OK||"
                             + endpointListJson(
                                     2,
                                     false,
-                                    endpointJson("l", leaving.address(), "cache", state),
+                                    endpointJson("l", leavingNode.address(), "cache", state),
                                     endpointJson("odd", "nowhere", "cache", "Ready"),
-                                    endpointJson("x", leaving.address(), "cache", "Resting"))
+                                    endpointJson("x", leavingNode.address(), "cache", "Resting"))
                             + "\n";
                 };
-        start(endpointJson("l", leaving.address(), "cache", "Ready"));
-        for (int key = 0; leaving.requests.isEmpty(); key++) {
+        start(endpointJson("l", leavingNode.address(), "cache", "Ready"));
+        for (int key = 0; leavingNode.requests.isEmpty(); key++) {
             assertEquals(200, statusCode(sendRequest("GET /view/" + key, ttlHeader(800), "")));
         }
-        change.countDown();
-        waitUntil(() -> leaving.endedConnections.get() == leaving.connections.size());
+        sendUpdate.countDown();
+        waitUntil(() -> leavingNode.endedConnections.get() == leavingNode.connections.size());
         for (int key = 0; key < 20; key++) {
             assertEquals(200, statusCode(sendRequest("GET /view/" + key, ttlHeader(800), "")));
         }
-        assertEquals(1, leaving.requests.size());
+        assertEquals(1, leavingNode.requests.size());
     }
 
     @ParameterizedTest
@@ -233,49 +242,51 @@
                 "silent; TIMED_OUT",
                 "; CONNECT_FAILED"
             })
-    void aProbeTellsHowItWent(String does, AttemptOutcome ending) throws Exception {
-        StandInServer node = new StandInServer(request -> does);
+    void aHealthCheckReportsItsOutcome(String response, AttemptOutcome expected) throws Exception {
+        StandInServer node = new StandInServer(request -> response);
         ProxyConfig config = config(endpointListJson(1, true), node.address());
-        EventQueue inbox = new EventQueue(9);
+        EventQueue eventQueue = new EventQueue(9);
         TickClock clock = new TickClock();
-        ListenerState listen =
+        ListenerState listenerState =
                 new ListenerState(clock, config.names().categories(), new ProxyMetrics(List.of()));
-        ConnectionReactor ours = new ConnectionReactor(config, inbox, listen, Thread::new);
-        opened.add(ours::stop);
-        ours.start();
-        if (does == null) {
+        ConnectionReactor reactor =
+                new ConnectionReactor(config, eventQueue, listenerState, Thread::new);
+        opened.add(reactor::stop);
+        reactor.start();
+        if (response == null) {
             node.close();
         }
-        new HealthCheck(ours, inbox, clock, config)
+        new HealthCheck(reactor, eventQueue, clock, config)
                 .start(new NodeId(7), IpAddresses.parse(node.address()).orElseThrow());
-        ProxyEvent told = inbox.poll(9_000_000_000L);
-        while (!(told instanceof ProxyEvent.HealthCheckCompleted)) {
-            told = inbox.poll(9_000_000_000L);
+        ProxyEvent event = eventQueue.poll(9_000_000_000L);
+        while (!(event instanceof ProxyEvent.HealthCheckCompleted)) {
+            event = eventQueue.poll(9_000_000_000L);
         }
-        assertEquals(ending, ((ProxyEvent.HealthCheckCompleted) told).outcome());
+        assertEquals(expected, ((ProxyEvent.HealthCheckCompleted) event).outcome());
         assertTrue(
                 node.requests.stream().allMatch(request -> request.startsWith("GET /-/healthy ")));
     }
 
     @Test
-    void aWatchThatEndsIsOpenedAgainAfterTheLastVersion() throws Exception {
+    void aDiscoveryWatchThatEndsIsReopenedAfterTheLastVersion() throws Exception {
         discoveryHandler =
                 request ->
                         discovery.requests.size() == 1
                                 ? RESET_CONNECTION
                                 : discovery.requests.size() == 2
-                                        ? EMPTY_LIST.replace("\"rev\":1", "\"rev\":7")
+                                        ? EMPTY_UPDATE.replace("\"rev\":1", "\"rev\":7")
                                         : SILENT;
         start();
         waitUntil(() -> discovery.requests.size() == 3);
-        for (int turn = 1; turn <= 2; turn++) {
-            String line = "GET /api/targets?watch=1&after=" + (turn == 1 ? 1 : 7) + " ";
-            assertTrue(discovery.requests.get(turn).startsWith(line), discovery.requests.get(turn));
+        for (int index = 1; index <= 2; index++) {
+            String line = "GET /api/targets?watch=1&after=" + (index == 1 ? 1 : 7) + " ";
+            assertTrue(
+                    discovery.requests.get(index).startsWith(line), discovery.requests.get(index));
         }
     }
 
     @Test
-    void aSilentWatchIsGivenUp() throws Exception {
+    void aSilentDiscoveryWatchIsClosedAndReopened() throws Exception {
         discoveryHandler = request -> SILENT;
         start();
         waitUntil(() -> discovery.requests.size() == 2);
@@ -283,21 +294,21 @@
     }
 
     @Test
-    void everyProxySendsAKeyToTheSameNodeWhateverItsAddress() throws Exception {
+    void theRequestCountsOfTheNodesAreTheSameForEveryProxy() throws Exception {
         start();
-        Map<String, StandInServer> fleet = new TreeMap<>();
+        Map<String, StandInServer> caches = new TreeMap<>();
         for (String uid : List.of("a", "b", "c")) {
-            fleet.put(uid, new StandInServer(request -> HIT));
+            caches.put(uid, new StandInServer(request -> HIT));
         }
-        List<List<Integer>> shares = new ArrayList<>();
-        for (int turn = 0; turn < 2; turn++) {
-            fleet.values().forEach(each -> each.requests.clear());
+        List<List<Integer>> requestCounts = new ArrayList<>();
+        for (int run = 0; run < 2; run++) {
+            caches.values().forEach(each -> each.requests.clear());
             proxy =
                     startServer(
                             endpointListJson(
                                     1,
                                     true,
-                                    fleet.entrySet().stream()
+                                    caches.entrySet().stream()
                                             .map(
                                                     each ->
                                                             endpointJson(
@@ -309,59 +320,61 @@
             for (int key = 0; key < 30; key++) {
                 sendRequest("GET /view/" + key, ttlHeader(800), "");
             }
-            shares.add(fleet.values().stream().map(each -> each.requests.size()).toList());
+            requestCounts.add(caches.values().stream().map(each -> each.requests.size()).toList());
         }
-        assertEquals(shares.get(0), shares.get(1));
-        assertNotEquals(0, shares.get(0).get(0));
+        assertEquals(requestCounts.get(0), requestCounts.get(1));
+        assertNotEquals(0, requestCounts.get(0).get(0));
     }
 
     @Test
-    void whenSocketsRunShortEveryClientIsStillAnsweredAndThenLetGo() throws Exception {
+    void whenDescriptorsRunShortClientsAreAnsweredAndThenDisconnected() throws Exception {
         maxSockets = 64;
         start();
-        List<Socket> fresh = new ArrayList<>();
-        List<Socket> keeping = new ArrayList<>();
+        List<Socket> idleClients = new ArrayList<>();
+        List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            fresh.add(connectClient());
+            idleClients.add(connectClient());
         }
-        String answer = "";
+        String response = "";
         for (int i = 0; i < 100; i++) {
-            keeping.add(connectClient());
-            send(keeping.get(i), "GET /view/1", ttlHeader(900), "");
-            answer = readMessage(keeping.get(i));
-            assertEquals(200, statusCode(answer), "client " + i);
-            // The next comes once this one has been let go, however late this machine closes it.
-            if (answer.contains("Connection: close")) {
-                assertEquals(-1, keeping.get(i).getInputStream().read());
+            clients.add(connectClient());
+            send(clients.get(i), "GET /view/1", ttlHeader(900), "");
+            response = readMessage(clients.get(i));
+            assertEquals(200, statusCode(response), "client " + i);
+            // The next client connects only after this connection is closed, also on a slow
+            // machine.
+            if (response.contains("Connection: close")) {
+                assertEquals(-1, clients.get(i).getInputStream().read());
             }
         }
-        assertTrue(answer.contains("Connection: close"), answer);
-        // None of those whose request is still to come was closed to make room for the others.
-        for (Socket each : fresh) {
+        assertTrue(response.contains("Connection: close"), response);
+        // No connection that has not sent a request yet was closed to make room for others.
+        for (Socket each : idleClients) {
             send(each, "GET /view/1", ttlHeader(900), "");
             assertEquals(200, statusCode(readMessage(each)));
         }
     }
 
     /**
-     * Guards against idle connections that fill the third of the descriptors that clients may hold.
+     * Guards against idle connections that use up the third of the descriptors that is meant for
+     * client connections.
      */
     @ParameterizedTest
     @CsvSource({"5, false", "16, true"})
-    void answersCloseTheirConnectionsWhereAThirdOfTheSocketsIsHeld(int held, boolean closes)
-            throws Exception {
+    void responsesCloseTheirConnectionsWhileAThirdOfTheDescriptorsIsInUse(
+            int idleClients, boolean expectClose) throws Exception {
         maxSockets = 64;
         start();
-        for (int i = 0; i < held; i++) {
+        for (int i = 0; i < idleClients; i++) {
             connectClient();
         }
         assertEquals(
-                closes,
+                expectClose,
                 sendRequest("GET /view/1", ttlHeader(800), "").contains("Connection: close"));
     }
 
     @Test
-    void aPlannedEndFinishesWhatWasTakenAndTakesNoMore() throws Exception {
+    void aDrainCompletesRequestsInFlightAndThenStopsListening() throws Exception {
         cacheHandler =
                 request -> {
                     while (proxy != null
@@ -372,35 +385,35 @@
                     return HIT;
                 };
         start();
-        Socket early = connectClient();
-        Socket late = connectClient();
-        Socket idle = connectClient();
-        send(early, "GET /view/1", ttlHeader(5000), "");
+        Socket clientInFlight = connectClient();
+        Socket lateClient = connectClient();
+        Socket idleClient = connectClient();
+        send(clientInFlight, "GET /view/1", ttlHeader(5000), "");
         waitUntil(() -> cache.requests.size() == 1);
-        Thread drain = new Thread(proxy::drain);
-        drain.start();
-        // The rest of the fleet may not be ready: for a while nothing changes for clients that are
-        // there.
+        Thread drainThread = new Thread(proxy::drain);
+        drainThread.start();
+        // At first the drain changes nothing for connected clients, because the proxy that was
+        // restarted before may not be ready yet. Only the deadlines of their requests are limited.
         Thread.sleep(700);
-        send(idle, "GET /view/quick", ttlHeader(9000).replace("9b1f", "5d13"), "");
-        assertFalse(readMessage(idle).contains("Connection: close"));
+        send(idleClient, "GET /view/quick", ttlHeader(9000).replace("9b1f", "5d13"), "");
+        assertFalse(readMessage(idleClient).contains("Connection: close"));
         assertTrue(
                 cache.requests
                         .get(cache.requests.size() - 1)
                         .matches("(?s).*X-Expires-In: \\d{1,6}u.*"));
-        Socket front = connectClient();
+        Socket readinessClient = connectClient();
         waitUntil(
                 () -> {
-                    send(front, "GET /-/ready", "", "");
-                    return readMessage(front).contains("Connection: close");
+                    send(readinessClient, "GET /-/ready", "", "");
+                    return readMessage(readinessClient).contains("Connection: close");
                 });
-        send(late, "GET /view/quick", ttlHeader(900).replace("9b1f", "7c02"), "");
-        String last = readMessage(late);
-        assertEquals(200, statusCode(last));
-        assertTrue(last.contains("Connection: close"), last);
-        assertEquals(200, statusCode(readMessage(early)));
-        assertEquals(-1, idle.getInputStream().read());
-        drain.join();
+        send(lateClient, "GET /view/quick", ttlHeader(900).replace("9b1f", "7c02"), "");
+        String lastResponse = readMessage(lateClient);
+        assertEquals(200, statusCode(lastResponse));
+        assertTrue(lastResponse.contains("Connection: close"), lastResponse);
+        assertEquals(200, statusCode(readMessage(clientInFlight)));
+        assertEquals(-1, idleClient.getInputStream().read());
+        drainThread.join();
         assertThrows(IOException.class, this::connectClient);
     }
 
@@ -408,9 +421,9 @@
     void aStalledProcessStillAnswersBeforeTheTtlAndEndsWhenTold() throws Exception {
         originHandler = request -> SILENT;
         start();
-        String known =
+        String endpointList =
                 endpointListJson(1, true, endpointJson("o", origin.address(), "origin", "Ready"));
-        config(known, discovery.address());
+        config(endpointList, discovery.address());
         Process process = startProcess();
         BufferedReader log = logOf(process);
         int port = portFromLog(log);
@@ -419,12 +432,12 @@
         send(client, "PUT /loan/1", ttlHeader(50), "v");
         assertEquals(502, statusCode(readMessage(client)));
         sendSignal(process, "STOP");
-        long sent = System.nanoTime();
+        long sentNanos = System.nanoTime();
         send(client, "PUT /loan/1", ttlHeader(400), "v");
         Thread.sleep(200);
         sendSignal(process, "CONT");
         assertEquals(502, statusCode(readMessage(client)));
-        long millis = (System.nanoTime() - sent) / 1_000_000;
+        long millis = (System.nanoTime() - sentNanos) / 1_000_000;
         assertTrue(millis < 470, "answered after " + millis);
         sendSignal(process, "TERM");
         awaitLogLine(log, "drains");
@@ -433,45 +446,46 @@
     }
 
     /**
-     * Guards against an op that the module means to end in time, by a clock that has moved on
-     * meanwhile.
+     * Guards against a request that is never answered: the router decides by a clock reading that
+     * is out of date when the coordinator acts on the decision. Here each clock reading of the
+     * coordinator thread lets 20 ms pass.
      */
     @Test
-    void aThreadHeldUpBetweenAnyTwoStepsStillAnswersBeforeTheTtl() throws Exception {
-        AtomicLong lost = new AtomicLong();
-        AtomicBoolean slow = new AtomicBoolean();
+    void aCoordinatorDelayedAtEveryClockReadingStillAnswersARequest() throws Exception {
+        AtomicLong delayTicks = new AtomicLong();
+        AtomicBoolean coordinatorDelayed = new AtomicBoolean();
         clock =
                 new TickClock() {
                     @Override
                     long now() {
-                        boolean owner =
+                        boolean onCoordinatorThread =
                                 Thread.currentThread()
                                         .getName()
                                         .equals(ProxyServer.OWNER_THREAD_NAME);
                         return super.now()
-                                + (owner && slow.get()
-                                        ? lost.addAndGet(20 * TICKS_PER_MILLI)
-                                        : lost.get());
+                                + (onCoordinatorThread && coordinatorDelayed.get()
+                                        ? delayTicks.addAndGet(20 * TICKS_PER_MILLI)
+                                        : delayTicks.get());
                     }
 
                     @Override
                     long nanosUntil(long due) {
-                        return super.nanosUntil(due) - lost.get() * NANOS_PER_TICK;
+                        return super.nanosUntil(due) - delayTicks.get() * NANOS_PER_TICK;
                     }
                 };
         cacheHandler = request -> SILENT;
         start();
-        slow.set(true);
+        coordinatorDelayed.set(true);
         Socket client = connectClient();
         client.setSoTimeout(5000);
         send(client, "GET /view/1", ttlHeader(900), "");
-        waitUntil(() -> lost.get() > 200 * TickClock.TICKS_PER_MILLI);
-        slow.set(false);
+        waitUntil(() -> delayTicks.get() > 200 * TickClock.TICKS_PER_MILLI);
+        coordinatorDelayed.set(false);
         assertEquals(503, statusCode(readMessage(client)));
     }
 
     @Test
-    void theMachineTouchesAllItsHeapAtTheStartAndLoadsNoCommandLine() throws Exception {
+    void theJvmPretouchesAFixedHeapAndLoadsNoCommandLineParser() throws Exception {
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
         ProcessBuilder builder =
                 new ProcessBuilder(
@@ -485,22 +499,23 @@
                         "serve");
         builder.environment().remove("LB_CONFIG");
         Process process = builder.start();
-        String said = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertEquals(2, process.waitFor(), "no configuration is set");
-        assertTrue(said.matches("(?s).* AlwaysPreTouch += true .*"));
-        assertTrue(said.matches("(?s).* InitialHeapSize += (\\d+) .* MaxHeapSize += \\1 .*"));
+        String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        assertEquals(2, process.waitFor(), "exit status without a configuration");
+        assertTrue(output.matches("(?s).* AlwaysPreTouch += true .*"));
+        assertTrue(output.matches("(?s).* InitialHeapSize += (\\d+) .* MaxHeapSize += \\1 .*"));
         assertTrue(
-                said.contains("cairnbridge.cli.Main ") && !said.contains("picocli.CommandLine "));
+                output.contains("cairnbridge.cli.Main ")
+                        && !output.contains("picocli.CommandLine "));
     }
 
     @Test
-    void aHangUpMovesTheWatchAndAFaultyFileChangesNothing() throws Exception {
+    void sighupMovesTheDiscoveryWatchAndAFaultyConfigurationChangesNothing() throws Exception {
         start();
-        CountDownLatch whole = new CountDownLatch(1);
-        StandInServer moved =
+        CountDownLatch sendList = new CountDownLatch(1);
+        StandInServer newDiscovery =
                 new StandInServer(
                         request -> {
-                            whole.await();
+                            sendList.await();
                             return "200 OK||"
                                     + endpointListJson(
                                             1,
@@ -513,22 +528,22 @@
         BufferedReader log = logOf(process);
         int port = portFromLog(log);
         waitUntil(() -> discovery.requests.size() == 2);
-        config(endpointListJson(1, true), moved.address());
+        config(endpointListJson(1, true), newDiscovery.address());
         sendSignal(process, "HUP");
-        awaitLogLine(log, "discovery is /" + moved.address());
-        waitUntil(() -> !moved.requests.isEmpty() && discovery.endedConnections.get() == 1);
+        awaitLogLine(log, "discovery is /" + newDiscovery.address());
+        waitUntil(() -> !newDiscovery.requests.isEmpty() && discovery.endedConnections.get() == 1);
         assertTrue(
-                moved.requests.get(0).startsWith("GET /api/targets?watch=1 "),
-                moved.requests.get(0));
+                newDiscovery.requests.get(0).startsWith("GET /api/targets?watch=1 "),
+                newDiscovery.requests.get(0));
         Files.writeString(folder.resolve("config.json"), "{}");
         sendSignal(process, "HUP");
         awaitLogLine(log, "keeps its configuration: LB_CONFIG.settings.categories");
-        whole.countDown();
-        for (int code = 0; code != 200; ) {
+        sendList.countDown();
+        for (int status = 0; status != 200; ) {
             Socket client = new Socket(InetAddress.getLoopbackAddress(), port);
             opened.add(client);
             send(client, "GET /view/1", ttlHeader(800), "");
-            code = statusCode(readMessage(client));
+            status = statusCode(readMessage(client));
         }
     }
 
@@ -546,24 +561,25 @@
                 "LONG",
                 "MANY"
             })
-    void aRequestWithoutOneClearEndIsRefusedAndNothingIsPushed(String rest) throws Exception {
+    void aRequestWithInvalidHeadersOrFramingIsRejectedWithoutAnAttempt(String rest)
+            throws Exception {
         start();
-        Socket rude = connectClient();
-        String head = ttlHeader(900).trim();
-        rude.getOutputStream()
+        Socket client = connectClient();
+        String headers = ttlHeader(900).trim();
+        client.getOutputStream()
                 .write(
                         ("GET /view/1 HTTP/1.1\r\n"
-                                        + head
+                                        + headers
                                         + "\r\n"
-                                        + rest.replace("HEAD", head)
+                                        + rest.replace("HEAD", headers)
                                                 .replace("LONG", "x".repeat(5000))
                                                 .replace("MANY", "A: b;".repeat(50))
                                                 .replace(";", "\r\n"))
                                 .getBytes(StandardCharsets.ISO_8859_1));
-        rude.shutdownOutput();
-        String answer = readMessage(rude);
-        assertTrue(answer.matches("(?s)HTTP/1.1 (4..|501) .*Connection: close.*"), answer);
-        assertEquals(-1, rude.getInputStream().read());
+        client.shutdownOutput();
+        String response = readMessage(client);
+        assertTrue(response.matches("(?s)HTTP/1.1 (4..|501) .*Connection: close.*"), response);
+        assertEquals(-1, client.getInputStream().read());
         assertEquals(0, cache.requests.size());
     }
 
@@ -579,8 +595,8 @@
                 "HTTP/1.1 2x0 OK;Content-Length: 4;;rest",
                 "HTTP/1.1 503 Full;X-Never-Ran: 1;Content-Length: x;;"
             })
-    void aSpoiltAnswerIsAPushThatMayHaveRun(String spoilt) throws Exception {
-        originHandler = request -> spoilt;
+    void aWriteWithAMalformedResponseIsAnswered502AndNotRetried(String malformed) throws Exception {
+        originHandler = request -> malformed;
         start();
         assertEquals(502, statusCode(sendRequest("PUT /loan/1", ttlHeader(400), "v")));
         assertEquals(1, origin.requests.size());
@@ -590,31 +606,32 @@
     @ParameterizedTest
     @ValueSource(
             strings = {"HTTP/1.1 200 OK;Content-Length: 5;;other", "noise", "HTTP/1.1 102 Go on;;"})
-    void whatComesBehindAnAnswerIsNobodysAnswer(String behind) throws Exception {
+    void bytesAfterAResponseAreNotUsedAsTheNextResponse(String extraBytes) throws Exception {
         cacheHandler =
-                request -> "HTTP/1.1 100 Go on;;HTTP/1.1 200 OK;Content-Length: 4;;kept" + behind;
+                request ->
+                        "HTTP/1.1 100 Go on;;HTTP/1.1 200 OK;Content-Length: 4;;kept" + extraBytes;
         start();
-        for (int turn = 1; turn <= 3; turn++) {
+        for (int i = 1; i <= 3; i++) {
             assertEquals("kept", bodyOf(sendRequest("GET /view/1", ttlHeader(900), "")));
         }
         assertEquals(3, cache.connections.size());
     }
 
     @Test
-    void aConnectionThatTheNodeHasClosedCostsNoOp() throws Exception {
+    void noRequestFailsBecauseTheNodeHasClosedAnIdleConnection() throws Exception {
         start();
-        for (int turn = 1; turn <= 5; turn++) {
+        for (int count = 1; count <= 5; count++) {
             assertEquals(200, statusCode(sendRequest("PUT /loan/1", ttlHeader(900), "v")));
-            origin.connections.get(turn - 1).close();
+            origin.connections.get(count - 1).close();
         }
     }
 
     @Test
-    void aSuccessorAtTheSameAddressInheritsNoConnection() throws Exception {
-        CountDownLatch change = new CountDownLatch(1);
+    void aNewNodeAtTheSameAddressGetsANewConnection() throws Exception {
+        CountDownLatch sendUpdate = new CountDownLatch(1);
         discoveryHandler =
                 request -> {
-                    change.await();
+                    sendUpdate.await();
                     return "200 OK||"
                             + endpointListJson(
                                     2,
@@ -624,7 +641,7 @@
                 };
         start();
         assertEquals(200, statusCode(sendRequest("GET /view/1", ttlHeader(900), "")));
-        change.countDown();
+        sendUpdate.countDown();
         waitUntil(() -> cache.endedConnections.get() == 1);
         assertEquals(200, statusCode(sendRequest("GET /view/1", ttlHeader(900), "")));
         assertEquals(2, cache.connections.size());
@@ -638,32 +655,32 @@
                 "PUT /loan/1 HTTP/1.1\r\nX-Trace-Id: 1\r\n"
                         + "X-Expires-In: 900m\r\nContent-Length: 99\r\n\r\n"
             })
-    void whoDoesNotComeToAnEndIsLetGoInTime(String said) throws Exception {
+    void aClientThatDoesNotCompleteItsRequestIsDisconnected(String firstBytes) throws Exception {
         start();
-        Socket slow = connectClient();
-        long connected = System.nanoTime();
-        slow.getOutputStream().write(said.getBytes(StandardCharsets.ISO_8859_1));
+        Socket client = connectClient();
+        long connectedNanos = System.nanoTime();
+        client.getOutputStream().write(firstBytes.getBytes(StandardCharsets.ISO_8859_1));
         daemon(
                 () -> {
-                    while (!said.isEmpty()) {
+                    while (!firstBytes.isEmpty()) {
                         Thread.sleep(100);
-                        slow.getOutputStream().write('x');
+                        client.getOutputStream().write('x');
                     }
                     return null;
                 });
         assertThrows(
                 IOException.class,
                 () -> {
-                    if (slow.getInputStream().read() < 0) {
+                    if (client.getInputStream().read() < 0) {
                         throw new IOException("closed");
                     }
                 });
-        long millis = (System.nanoTime() - connected) / 1_000_000;
+        long millis = (System.nanoTime() - connectedNanos) / 1_000_000;
         assertTrue(millis > 1500 && millis < 2900, "closed after " + millis);
     }
 
     @Test
-    void theIdOfAnOpenOpIsNotTakenTwice() throws Exception {
+    void aRequestWithTheTraceIdOfAnOpenRequestIsAnswered409() throws Exception {
         cacheHandler = request -> SILENT;
         start();
         Socket first = connectClient();
@@ -675,75 +692,78 @@
     }
 
     @Test
-    void aSecondRequestBeforeTheAnswerEndsTheConnectionAfterTheFirst() throws Exception {
+    void aPipelinedRequestIsAnswered400AfterTheFirstResponse() throws Exception {
         start();
-        Socket rude = connectClient();
+        Socket client = connectClient();
         send(
-                rude,
+                client,
                 "GET /view/1 HTTP/1.1\r\n" + ttlHeader(900) + "\r\nGET /view/2",
                 ttlHeader(900),
                 "");
-        assertEquals(200, statusCode(readMessage(rude)));
-        assertEquals(400, statusCode(readMessage(rude)));
+        assertEquals(200, statusCode(readMessage(client)));
+        assertEquals(400, statusCode(readMessage(client)));
         assertEquals(1, cache.requests.size());
     }
 
     @Test
-    void theFirstSecondsAfterASwitchKeepWhatWasLearntAndAskForTheList() throws Exception {
+    void aRestartedProxyAvoidsTheFailingNodeOfTheWarmStartFileAndOpensAWatch() throws Exception {
         extraConfig = "\"learnt\":\"" + folder.resolve("learnt.json") + "\",";
         hedging = "true";
-        StandInServer bad = new StandInServer(request -> "500 Ill||");
-        start(endpointJson("bad", bad.address(), "cache", "Ready"));
+        StandInServer failingCache = new StandInServer(request -> "500 Ill||");
+        start(endpointJson("bad", failingCache.address(), "cache", "Ready"));
         for (int key = 0; key < 30; key++) {
             assertEquals(200, statusCode(sendRequest("GET /view/" + key, ttlHeader(800), "")));
             Thread.sleep(50);
         }
         proxy.stop();
-        String learnt = Files.readString(folder.resolve("learnt.json"));
-        assertTrue(learnt.matches(".*\"share\":0\\..*"), learnt);
+        String warmStart = Files.readString(folder.resolve("learnt.json"));
+        assertTrue(warmStart.matches(".*\"share\":0\\..*"), warmStart);
 
         hedging = "false";
         extraSettings =
                 "\"registry-mode\":\"subscribe\",\"load-info\":{\"how\":\"answers\","
                         + "\"columns\":[\"inflight\",\"qps\",\"x0\"]},";
-        int watched = discovery.requests.size();
-        List<String> atBad =
-                bad.requests.stream()
+        int watchesBefore = discovery.requests.size();
+        List<String> linesToFailingCache =
+                failingCache.requests.stream()
                         .limit(3)
                         .map(each -> each.substring(0, each.indexOf(" HTTP")))
                         .toList();
-        assertEquals(3, atBad.size());
-        bad.requests.clear();
+        assertEquals(3, linesToFailingCache.size());
+        failingCache.requests.clear();
         proxy =
                 startServer(
                         endpointListJson(
                                 1,
                                 true,
                                 endpointJson("c", cache.address(), "cache", "Ready"),
-                                endpointJson("bad", bad.address(), "cache", "Ready"),
+                                endpointJson("bad", failingCache.address(), "cache", "Ready"),
                                 endpointJson("o", origin.address(), "origin", "Ready")));
-        waitUntil(() -> discovery.requests.size() > watched);
+        waitUntil(() -> discovery.requests.size() > watchesBefore);
         cacheHandler =
                 request -> {
                     Thread.sleep(500);
                     return HIT;
                 };
-        int before = cache.requests.size();
+        int requestsBefore = cache.requests.size();
         assertEquals(
                 200,
                 statusCode(
                         sendRequest(
-                                atBad.get(0).replace("view/", "view/slow"), ttlHeader(900), "")));
+                                linesToFailingCache.get(0).replace("view/", "view/slow"),
+                                ttlHeader(900),
+                                "")));
         assertTrue(
-                cache.requests.size() - before + bad.requests.size() <= 2,
-                "a second copy went out");
+                cache.requests.size() - requestsBefore + failingCache.requests.size() <= 2,
+                "a hedged request was sent");
         cacheHandler = request -> HIT;
-        for (String line : atBad) {
+        for (String line : linesToFailingCache) {
             assertEquals(200, statusCode(sendRequest(line, ttlHeader(800), "")));
         }
         assertTrue(
-                bad.requests.size() <= 1,
-                bad.requests.size() + " of 3 met the cache that was bad before");
+                failingCache.requests.size() <= 1,
+                failingCache.requests.size()
+                        + " of 3 requests went to the cache that failed before the restart");
     }
 
     @ParameterizedTest
@@ -755,9 +775,9 @@
                 "{\"nodes\":[{\"id\":\"x\",\"share\":1}]}",
                 "{\"nodes\":[{\"id\":\"1\",\"share\":7}]}"
             })
-    void whatWasLearntAndCannotBeReadIsLeftOut(String text) throws Exception {
+    void anInvalidWarmStartFileIsIgnored(String content) throws Exception {
         Path file = folder.resolve("learnt.json");
-        Files.writeString(file, text);
+        Files.writeString(file, content);
         extraConfig = "\"learnt\":\"" + file + "\",";
         start();
         assertEquals(200, statusCode(sendRequest("GET /view/1", ttlHeader(800), "")));
@@ -804,18 +824,18 @@
                 "{'settings':{CATEGORIES,'rules':{'fall-s':'2'}},FREE} | rules.fall-s: is not a"
                         + " number"
             })
-    void faultyConfigurationIsNamedByItsKey(String text, String fault) throws Exception {
+    void aConfigurationErrorNamesItsKey(String content, String expectedMessage) throws Exception {
         Path file = folder.resolve("faulty.json");
         Files.writeString(
                 file,
-                text.replace("CATEGORIES", "'categories':[{'name':'v'}]")
+                content.replace("CATEGORIES", "'categories':[{'name':'v'}]")
                         .replace("FREE", "'listen':'127.0.0.1:0','discovery':'127.0.0.1:1'")
                         .replace('\'', '"'));
         Map<String, String> variables = Map.of("LB_CONFIG", file.toString());
-        ConfigurationException e =
+        ConfigurationException exception =
                 assertThrows(ConfigurationException.class, () -> ProxyConfig.read(variables));
-        assertTrue(e.getMessage().contains(fault), e.getMessage());
-        e = assertThrows(ConfigurationException.class, () -> ProxyConfig.read(Map.of()));
-        assertTrue(e.getMessage().startsWith("LB_CONFIG"), e.getMessage());
+        assertTrue(exception.getMessage().contains(expectedMessage), exception.getMessage());
+        exception = assertThrows(ConfigurationException.class, () -> ProxyConfig.read(Map.of()));
+        assertTrue(exception.getMessage().startsWith("LB_CONFIG"), exception.getMessage());
     }
 }
--- a/src/test/java/cairnbridge/proxy/ProxyTestSupport.java
+++ b/src/test/java/cairnbridge/proxy/ProxyTestSupport.java
@@ -26,34 +26,52 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** One proxy on real sockets, among stand-ins for caches, origin, discovery and clients. */
+/** Runs a proxy on real sockets, with stub servers as cache, origin and discovery. */
 @Timeout(20)
 abstract class ProxyTestSupport {
+    // Responses of stub servers; see StandInServer for the format.
     static final String HIT = "200 OK|X-Store: hit|kept";
     static final String MISS = "404 Not Found|X-Store: miss|";
+
+    /** Resets the connection instead of responding. */
     static final String RESET_CONNECTION = "reset";
+
+    /**
+     * Prefix of a response that is sent as it stands, with CRLF for each semicolon; then the stub
+     * closes.
+     */
     static final String ANSWER_AND_CLOSE = "and close: ";
+
+    /** Sends nothing and leaves the connection open. */
     static final String SILENT = "silent";
+
+    /** A discovery watch without changes: only heartbeats. */
     static final String QUIET = "quiet";
-    static final String EMPTY_LIST = "200 OK||{\"rev\":1,\"all\":false,\"targets\":[]}\n";
+
+    /** An incremental endpoint list that changes nothing. */
+    static final String EMPTY_UPDATE = "200 OK||{\"rev\":1,\"all\":false,\"targets\":[]}\n";
 
     @TempDir Path folder;
     final List<AutoCloseable> opened = new ArrayList<>();
-    RequestHandler cacheHandler = request -> HIT;
-    RequestHandler originHandler = request -> "200 OK||fetched";
-    RequestHandler discoveryHandler = request -> QUIET;
+    StubHandler cacheHandler = request -> HIT;
+    StubHandler originHandler = request -> "200 OK||fetched";
+    StubHandler discoveryHandler = request -> QUIET;
     int maxSockets = 256;
     int port;
-    double idleSeconds = 60;
+    double keepAliveSeconds = 60;
     double connectSeconds = 0.2;
 
-    /** More of the configuration and of its settings, for a deployment of another shape. */
+    /** Further members of the configuration file, each followed by a comma. */
     String extraConfig = "";
 
+    /** Further members of its settings object, each followed by a comma. */
     String extraSettings = "";
+
     String hedging = "false";
 
+    /** Whether a critical thread of the proxy has ended. */
     volatile boolean broken;
+
     TickClock clock = new TickClock();
     StandInServer cache;
     StandInServer origin;
@@ -62,25 +80,27 @@
 
     @AfterEach
     void close() throws Exception {
-        assertFalse(broken, "a thread of the proxy has ended");
+        assertFalse(broken, "a critical thread of the proxy has ended");
         for (AutoCloseable each : opened) {
             each.close();
         }
     }
 
     /**
-     * What a server of the fleet sees and does: requests as texts, answers as status|header|body.
+     * A stub HTTP server that records the requests it receives. Its handler returns a response as
+     * {@code status|header|body}, a whole HTTP response with CRLF written as semicolon, or one of
+     * the constants above.
      */
     class StandInServer implements AutoCloseable {
         final List<String> requests = new CopyOnWriteArrayList<>();
         final List<Socket> connections = new CopyOnWriteArrayList<>();
         final AtomicInteger endedConnections = new AtomicInteger();
         final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        final RequestHandler handler;
+        final StubHandler handler;
         final Thread acceptThread;
 
-        StandInServer(RequestHandler does) throws IOException {
-            this.handler = does;
+        StandInServer(StubHandler handler) throws IOException {
+            this.handler = handler;
             opened.add(this);
             acceptThread =
                     daemon(
@@ -108,39 +128,39 @@
             InputStream in = new BufferedInputStream(socket.getInputStream());
             for (String request = readMessage(in); request != null; request = readMessage(in)) {
                 requests.add(request);
-                String answer = handler.apply(request);
-                if (answer.equals(RESET_CONNECTION)) {
+                String response = handler.apply(request);
+                if (response.equals(RESET_CONNECTION)) {
                     socket.setSoLinger(true, 0);
                     socket.close();
                     return null;
-                } else if (answer.startsWith(ANSWER_AND_CLOSE)) {
+                } else if (response.startsWith(ANSWER_AND_CLOSE)) {
                     socket.getOutputStream()
                             .write(
-                                    answer.substring(ANSWER_AND_CLOSE.length())
+                                    response.substring(ANSWER_AND_CLOSE.length())
                                             .replace(";", "\r\n")
                                             .getBytes(StandardCharsets.ISO_8859_1));
                     socket.close();
                     return null;
-                } else if (answer.equals(QUIET)) {
+                } else if (response.equals(QUIET)) {
                     sendHeartbeats(socket);
-                } else if (answer.startsWith("HTTP/")) {
+                } else if (response.startsWith("HTTP/")) {
                     socket.getOutputStream()
                             .write(
-                                    answer.replace(";", "\r\n")
+                                    response.replace(";", "\r\n")
                                             .getBytes(StandardCharsets.ISO_8859_1));
-                } else if (!answer.equals(SILENT)) {
-                    String[] part = answer.split("\\|", 3);
-                    String header = part[1].isEmpty() ? "" : part[1] + "\r\n";
+                } else if (!response.equals(SILENT)) {
+                    String[] parts = response.split("\\|", 3);
+                    String header = parts[1].isEmpty() ? "" : parts[1] + "\r\n";
                     socket.getOutputStream()
                             .write(
                                     ("HTTP/1.1 "
-                                                    + part[0]
+                                                    + parts[0]
                                                     + "\r\n"
                                                     + header
                                                     + "Content-Length: "
-                                                    + part[2].length()
+                                                    + parts[2].length()
                                                     + "\r\n\r\n"
-                                                    + part[2])
+                                                    + parts[2])
                                             .getBytes(StandardCharsets.ISO_8859_1));
                 }
             }
@@ -148,8 +168,8 @@
         }
 
         /**
-         * A watch on which nothing changes: an empty line now and then, until the other side
-         * closes.
+         * Responds to a discovery watch without changes: sends an empty line every 100 ms until the
+         * peer closes.
          */
         private void sendHeartbeats(Socket socket) throws IOException, InterruptedException {
             String head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -164,7 +184,7 @@
         public void close() throws IOException {
             server.close();
             try {
-                // A system call that still accepts keeps the port open after its close.
+                // The port stays open until the accept call that is in progress returns.
                 acceptThread.join();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
@@ -175,12 +195,14 @@
         }
     }
 
-    /** How a stand-in answers. */
-    interface RequestHandler {
+    /**
+     * Returns the response of a stub server to a request, in the format of {@link StandInServer}.
+     */
+    interface StubHandler {
         String apply(String request) throws InterruptedException;
     }
 
-    /** What a thread does. */
+    /** The work of a daemon thread. */
     interface InterruptibleTask {
         Object run() throws IOException, InterruptedException;
     }
@@ -192,7 +214,7 @@
                             try {
                                 work.run();
                             } catch (IOException | InterruptedException e) {
-                                // The story is over, or the other side has closed.
+                                // The test has ended, or the peer has closed the connection.
                             }
                         });
         thread.setDaemon(true);
@@ -200,7 +222,7 @@
         return thread;
     }
 
-    /** One whole message, head and body, or null where the connection ends before. */
+    /** Reads one whole message, head and body; null if the connection ends before. */
     static String readMessage(Socket socket) throws IOException {
         return readMessage(socket.getInputStream());
     }
@@ -237,29 +259,29 @@
         return null;
     }
 
-    static String endpointJson(String uid, String address, String kind, String state) {
+    static String endpointJson(String uid, String address, String hostType, String state) {
         return "{\"uid\":\""
                 + uid
                 + "\",\"endpoint\":\""
                 + address
                 + "\",\"az\":\"a\",\"model\":\""
-                + kind
+                + hostType
                 + "\",\"pod_group\":1,\"state\":\""
                 + state
                 + "\",\"capacity_hint\":1,\"boot_ms\":0,\"news\":[1]}";
     }
 
-    static String endpointListJson(int version, boolean whole, String... targets) {
+    static String endpointListJson(int version, boolean complete, String... targets) {
         return "{\"rev\":"
                 + version
                 + ",\"all\":"
-                + whole
+                + complete
                 + ",\"targets\":["
                 + String.join(",", targets)
                 + "]}";
     }
 
-    ProxyConfig config(String known, String discoveryAddress) throws IOException {
+    ProxyConfig config(String endpointList, String discoveryAddress) throws IOException {
         Path file = folder.resolve("config.json");
         Files.writeString(
                 file,
@@ -278,17 +300,17 @@
                         .formatted(
                                 port,
                                 discoveryAddress,
-                                known,
+                                endpointList,
                                 maxSockets,
                                 extraConfig,
                                 extraSettings,
                                 hedging,
                                 connectSeconds,
-                                idleSeconds));
+                                keepAliveSeconds));
         return ProxyConfig.read(Map.of("LB_CONFIG", file.toString(), "TMPDIR", folder.toString()));
     }
 
-    void start(String... more) throws Exception {
+    void start(String... extraEndpoints) throws Exception {
         cache = new StandInServer(request -> cacheHandler.apply(request));
         origin = new StandInServer(request -> originHandler.apply(request));
         discovery = new StandInServer(request -> discoveryHandler.apply(request));
@@ -297,24 +319,28 @@
                         List.of(
                                 endpointJson("c", cache.address(), "cache", "Ready"),
                                 endpointJson("o", origin.address(), "origin", "Ready")));
-        targets.addAll(List.of(more));
+        targets.addAll(List.of(extraEndpoints));
         proxy = startServer(endpointListJson(1, true, targets.toArray(String[]::new)));
     }
 
-    ProxyServer startServer(String known) throws Exception {
-        ProxyServer made =
-                new ProxyServer(config(known, discovery.address()), () -> broken = true, clock);
-        opened.add(made::stop);
-        made.start();
-        return made;
+    ProxyServer startServer(String endpointList) throws Exception {
+        ProxyServer server =
+                new ProxyServer(
+                        config(endpointList, discovery.address()), () -> broken = true, clock);
+        opened.add(server::stop);
+        server.start();
+        return server;
     }
 
-    /** The program as a process of its own, with the configuration in this test's folder. */
+    /** Starts the proxy as a separate process with the configuration file in this test's folder. */
     Process startProcess() throws IOException {
         return startProcessAfter("true");
     }
 
-    /** The same, begun by a shell after this command, whose limits and signals it inherits. */
+    /**
+     * Starts the proxy as a separate process, from a shell that runs a command first. The process
+     * inherits the limits and signal dispositions that the command sets.
+     */
     Process startProcessAfter(String shellCommand) throws IOException {
         ProcessBuilder builder =
                 new ProcessBuilder(
@@ -338,13 +364,13 @@
         return new BufferedReader(new InputStreamReader(process.getErrorStream()));
     }
 
-    /** The first line with these words: others may come before it, as time goes by. */
-    static String awaitLogLine(BufferedReader log, String words) throws IOException {
+    /** Reads up to the first line that contains a text, and returns that line. */
+    static String awaitLogLine(BufferedReader log, String text) throws IOException {
         String line = log.readLine();
-        while (line != null && !line.contains(words)) {
+        while (line != null && !line.contains(text)) {
             line = log.readLine();
         }
-        assertNotNull(line, "no line says: " + words);
+        assertNotNull(line, "the log has no line with: " + text);
         return line;
     }
 
@@ -360,10 +386,11 @@
         return socket;
     }
 
-    static void send(Socket socket, String line, String headers, String body) throws IOException {
+    static void send(Socket socket, String requestLine, String headers, String body)
+            throws IOException {
         socket.getOutputStream()
                 .write(
-                        (line
+                        (requestLine
                                         + " HTTP/1.1\r\nHost: app.svc\r\n"
                                         + headers
                                         + (body.isEmpty()
@@ -378,19 +405,19 @@
         return "X-Trace-Id: 9b1f\r\nX-Expires-In: " + millis + "m\r\n";
     }
 
-    String sendRequest(String line, String headers, String body) throws IOException {
+    String sendRequest(String requestLine, String headers, String body) throws IOException {
         Socket socket = connectClient();
-        send(socket, line, headers, body);
+        send(socket, requestLine, headers, body);
         return readMessage(socket);
     }
 
-    /** What is waited for. */
+    /** A condition that {@link #waitUntil} checks repeatedly. */
     interface Condition {
         boolean holds() throws IOException;
     }
 
-    static void waitUntil(Condition what) throws IOException, InterruptedException {
-        while (!what.holds()) {
+    static void waitUntil(Condition condition) throws IOException, InterruptedException {
+        while (!condition.holds()) {
             Thread.sleep(2);
         }
     }
@@ -399,8 +426,8 @@
         new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid())).start().waitFor();
     }
 
-    static int statusCode(String answer) {
-        return Integer.parseInt(answer.split(" ")[1]);
+    static int statusCode(String response) {
+        return Integer.parseInt(response.split(" ")[1]);
     }
 
     static String bodyOf(String message) {
--- a/src/test/java/cairnbridge/proxy/StreamsTest.java
+++ b/src/test/java/cairnbridge/proxy/StreamsTest.java
@@ -19,19 +19,19 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Bodies that are too long to be gathered, both ways. */
+/** Request and response bodies that are streamed because they are too long to be buffered. */
 class StreamsTest extends ProxyTestSupport {
-    private final HttpClient web =
+    private final HttpClient httpClient =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
-    private HttpRequest.Builder request(String path, int ttl) throws IOException {
+    private HttpRequest.Builder request(String path, int ttlMillis) throws IOException {
         return HttpRequest.newBuilder(
                         URI.create("http://127.0.0.1:" + proxy.address().getPort() + path))
                 .header("X-Trace-Id", "5d13")
-                .header("X-Expires-In", ttl + "m");
+                .header("X-Expires-In", ttlMillis + "m");
     }
 
-    private static String text(int size) {
+    private static String generateText(int size) {
         StringBuilder text = new StringBuilder(size);
         for (int i = 0; text.length() < size; i++) {
             text.append(i).append(i % 7 == 0 ? '\n' : ' ');
@@ -40,13 +40,13 @@
         return text.toString();
     }
 
-    private static String chunked(String body, int size) {
+    private static String encodeChunked(String body, int chunkSize) {
         StringBuilder chunks = new StringBuilder(2 * body.length());
-        for (int at = 0; at < body.length(); at += size) {
-            String part = body.substring(at, Math.min(body.length(), at + size));
-            chunks.append(Integer.toHexString(part.length()))
+        for (int offset = 0; offset < body.length(); offset += chunkSize) {
+            String chunk = body.substring(offset, Math.min(body.length(), offset + chunkSize));
+            chunks.append(Integer.toHexString(chunk.length()))
                     .append("\r\n")
-                    .append(part)
+                    .append(chunk)
                     .append("\r\n");
         }
         return chunks + "0\r\nX-Trailer: 1\r\n\r\n";
@@ -61,33 +61,37 @@
         "close, 300000",
         "close, 300"
     })
-    void anAnswerOfAnyFormAndLengthComesBackUnchanged(String form, int size) throws Exception {
-        String body = text(size);
+    void aResponseBodyOfAnyFramingAndLengthIsReturnedUnchanged(String framing, int size)
+            throws Exception {
+        String body = generateText(size);
         cacheHandler =
                 request ->
-                        switch (form) {
+                        switch (framing) {
                             case "length" -> "200 OK||" + body;
                             case "chunked" ->
                                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                                            + chunked(body, 1999);
+                                            + encodeChunked(body, 1999);
                             default ->
                                     ANSWER_AND_CLOSE
                                             + "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
                                             + body;
                         };
         start();
-        for (int turn = 0; turn < 3; turn++) {
+        for (int i = 0; i < 3; i++) {
             assertEquals(
                     body,
-                    web.send(request("/view/1", 900).build(), HttpResponse.BodyHandlers.ofString())
+                    httpClient
+                            .send(
+                                    request("/view/1", 900).build(),
+                                    HttpResponse.BodyHandlers.ofString())
                             .body());
         }
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aLongBodyPassesThroughToTheOrigin(boolean chunked) throws Exception {
-        String body = text(1_000_000).replace("\n", " ");
+    void aLongRequestBodyIsForwardedToTheOrigin(boolean chunked) throws Exception {
+        String body = generateText(1_000_000).replace("\n", " ");
         start();
         HttpRequest.BodyPublisher publisher =
                 chunked
@@ -96,26 +100,29 @@
                                         new java.io.ByteArrayInputStream(
                                                 body.getBytes(StandardCharsets.ISO_8859_1)))
                         : HttpRequest.BodyPublishers.ofString(body);
-        for (int turn = 0; turn < 2; turn++) {
+        for (int i = 0; i < 2; i++) {
             assertEquals(
                     200,
-                    web.send(
+                    httpClient
+                            .send(
                                     request("/loan/1", 900).PUT(publisher).build(),
                                     HttpResponse.BodyHandlers.ofString())
                             .statusCode());
-            String seen = bodyOf(origin.requests.get(turn));
+            String received = bodyOf(origin.requests.get(i));
             assertEquals(
-                    body, chunked ? seen.replaceAll("(^|\r\n)[0-9a-f]+\r\n(\r\n)?", "") : seen);
+                    body,
+                    chunked ? received.replaceAll("(^|\r\n)[0-9a-f]+\r\n(\r\n)?", "") : received);
         }
     }
 
     @ParameterizedTest
     @ValueSource(ints = {100_000, 1000})
-    void theTtlOfABodyRunsFromItsLastByte(int size) throws Exception {
+    void theTtlOfARequestStartsAtTheLastByteOfItsBody(int size) throws Exception {
         originHandler = request -> SILENT;
         start();
-        Socket slow = connectClient();
-        slow.getOutputStream()
+        Socket slowClient = connectClient();
+        slowClient
+                .getOutputStream()
                 .write(
                         ("PUT /loan/1 HTTP/1.1\r\n"
                                         + ttlHeader(300)
@@ -124,37 +131,37 @@
                                         + "\r\n\r\n")
                                 .getBytes(StandardCharsets.ISO_8859_1));
         for (int i = 0; i < 10; i++) {
-            slow.getOutputStream().write(new byte[size / 10]);
+            slowClient.getOutputStream().write(new byte[size / 10]);
             Thread.sleep(60);
         }
-        long last = System.nanoTime();
-        assertEquals(502, statusCode(readMessage(slow)));
-        long millis = (System.nanoTime() - last) / 1_000_000;
+        long lastByteNanos = System.nanoTime();
+        assertEquals(502, statusCode(readMessage(slowClient)));
+        long millis = (System.nanoTime() - lastByteNanos) / 1_000_000;
         assertTrue(millis > 100 && millis < 350, "answered after " + millis);
         assertEquals(1, origin.requests.size());
     }
 
     @Test
-    void anAnswerThatPassesThroughIsNotCutByTheTtlAndReachesItsClientAsItComes() throws Exception {
-        CountDownLatch rest = new CountDownLatch(1);
+    void aStreamedResponseIsForwardedAsItArrivesAndNotTruncatedAtTheTtl() throws Exception {
+        CountDownLatch sendRest = new CountDownLatch(1);
         cacheHandler = request -> "HTTP/1.1 200 OK;Content-Length: 200000;;" + "x".repeat(100_000);
         start();
         daemon(
                 () -> {
-                    rest.await();
+                    sendRest.await();
                     cache.connections
                             .get(0)
                             .getOutputStream()
                             .write("x".repeat(100_000).getBytes());
                     return null;
                 });
-        HttpResponse<InputStream> answer =
-                web.send(
+        HttpResponse<InputStream> response =
+                httpClient.send(
                         request("/view/1", 300).build(), HttpResponse.BodyHandlers.ofInputStream());
-        assertEquals(100_000, answer.body().readNBytes(100_000).length);
+        assertEquals(100_000, response.body().readNBytes(100_000).length);
         Thread.sleep(500);
-        rest.countDown();
-        assertEquals(100_000, answer.body().readAllBytes().length);
+        sendRest.countDown();
+        assertEquals(100_000, response.body().readAllBytes().length);
         assertEquals(1, cache.requests.size());
     }
 
@@ -164,22 +171,22 @@
                 "HTTP/1.1 200 OK;Content-Length: 200000;;",
                 "HTTP/1.1 200 OK;Transfer-Encoding: chunked;;186a1;"
             })
-    void anAnswerThatBreaksOffEndsSoThatItsClientCanTell(String head) throws Exception {
+    void aTruncatedResponseFailsAtTheClient(String head) throws Exception {
         cacheHandler = request -> ANSWER_AND_CLOSE + head + "x".repeat(100_000);
         start();
         assertThrows(
                 IOException.class,
                 () ->
-                        web.send(
+                        httpClient.send(
                                 request("/view/1", 900).build(),
                                 HttpResponse.BodyHandlers.ofString()));
         assertEquals(1, cache.requests.size());
     }
 
     @Test
-    void aClientThatDoesNotReadHoldsTheNodeBack() throws Exception {
-        int size = 40_000_000; // More than all buffers of the system between node and client hold.
-        CountDownLatch given = new CountDownLatch(1);
+    void aClientThatDoesNotReadAppliesBackpressureToTheNode() throws Exception {
+        int size = 40_000_000; // More than the system buffers between node and client can hold.
+        CountDownLatch responseWritten = new CountDownLatch(1);
         cacheHandler =
                 request -> {
                     try {
@@ -195,38 +202,44 @@
                     } catch (IOException e) {
                         throw new AssertionError(e);
                     }
-                    given.countDown();
+                    responseWritten.countDown();
                     return SILENT;
                 };
         start();
-        HttpResponse<InputStream> answer =
-                web.send(
+        HttpResponse<InputStream> response =
+                httpClient.send(
                         request("/view/1", 900).build(), HttpResponse.BodyHandlers.ofInputStream());
         Thread.sleep(700);
-        assertEquals(1, given.getCount());
-        assertEquals(size, answer.body().readAllBytes().length);
-        given.await();
+        assertEquals(1, responseWritten.getCount());
+        assertEquals(size, response.body().readAllBytes().length);
+        responseWritten.await();
     }
 
     @Test
-    void aBodyThatIsLostIsPushedAgainOnlyIfNothingOfItWentOut() throws Exception {
-        AtomicInteger pushes = new AtomicInteger();
-        originHandler = request -> pushes.incrementAndGet() == 1 ? "503 Full|X-Never-Ran: 1|" : HIT;
+    void aStreamedRequestBodyThatWasPartlySentIsNotSentAgain() throws Exception {
+        AtomicInteger attempts = new AtomicInteger();
+        originHandler =
+                request -> attempts.incrementAndGet() == 1 ? "503 Full|X-Never-Ran: 1|" : HIT;
         start();
         HttpRequest.Builder put =
-                request("/loan/1", 900).PUT(HttpRequest.BodyPublishers.ofString(text(200_000)));
-        assertEquals(503, web.send(put.build(), HttpResponse.BodyHandlers.ofString()).statusCode());
-        assertEquals(1, pushes.get());
-        assertEquals(200, web.send(put.build(), HttpResponse.BodyHandlers.ofString()).statusCode());
+                request("/loan/1", 900)
+                        .PUT(HttpRequest.BodyPublishers.ofString(generateText(200_000)));
+        assertEquals(
+                503,
+                httpClient.send(put.build(), HttpResponse.BodyHandlers.ofString()).statusCode());
+        assertEquals(1, attempts.get());
+        assertEquals(
+                200,
+                httpClient.send(put.build(), HttpResponse.BodyHandlers.ofString()).statusCode());
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 60000000;;", "Transfer-Encoding: chunked;;FFFFFFFF;"})
-    void aBodyWithoutMeasureIsRefusedInTime(String head) throws Exception {
+    void anOversizedRequestBodyIsRejectedInTime(String head) throws Exception {
         start();
-        Socket rude = connectClient();
-        long begun = System.nanoTime();
-        rude.getOutputStream()
+        Socket client = connectClient();
+        long startNanos = System.nanoTime();
+        client.getOutputStream()
                 .write(
                         ("PUT /loan/1 HTTP/1.1\r\n" + ttlHeader(900) + head.replace(";", "\r\n"))
                                 .getBytes(StandardCharsets.ISO_8859_1));
@@ -236,20 +249,20 @@
                     daemon(
                             () -> {
                                 while (true) {
-                                    rude.getInputStream().readAllBytes();
-                                    rude.close();
+                                    client.getInputStream().readAllBytes();
+                                    client.close();
                                 }
                             });
                     for (int i = 0; i < 6000; i++) {
-                        rude.getOutputStream().write(new byte[10_000]);
+                        client.getOutputStream().write(new byte[10_000]);
                     }
-                    throw new IOException("was read to its end");
+                    throw new IOException("the whole body was read");
                 });
-        assertTrue(System.nanoTime() - begun < 6_000_000_000L);
+        assertTrue(System.nanoTime() - startNanos < 6_000_000_000L);
     }
 
     @Test
-    void theAbsoluteFormOfATargetIsTaken() throws Exception {
+    void aRequestTargetInAbsoluteFormIsAccepted() throws Exception {
         start();
         assertEquals(
                 200, statusCode(sendRequest("GET http://app.svc/view/1?a=2", ttlHeader(800), "")));
--- a/src/test/java/cairnbridge/proxy/WaitingTest.java
+++ b/src/test/java/cairnbridge/proxy/WaitingTest.java
@@ -16,101 +16,108 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * How the threads wait for one another. Guards against a thread that spins, or counts on time going
- * by while another works: where one thread of a process runs at a time neither ever ends.
+ * How threads wait for one another. Guards against a thread that busy-waits, or that relies on time
+ * passing while another thread works: if the process runs only one thread at a time, the wait never
+ * ends.
  */
 @Timeout(20)
 class WaitingTest {
     @Test
-    void whoFindsTheInboxFullSleepsUntilItsOwnerTakesAndNothingIsLostOrTurned() throws Exception {
-        EventQueue inbox = new EventQueue(2);
+    void aPosterSleepsWhileTheQueueIsFullAndNoEventIsLostOrReordered() throws Exception {
+        EventQueue eventQueue = new EventQueue(2);
         Thread poster =
                 ProxyTestSupport.daemon(
                         () -> {
                             for (int i = 0; i < 5; i++) {
-                                inbox.post(notice(i));
+                                eventQueue.post(event(i));
                             }
                             return null;
                         });
         ProxyTestSupport.waitUntil(() -> poster.getState() == Thread.State.WAITING);
-        inbox.postUrgent(notice(9));
-        assertEquals(9, number(inbox.poll()), "what staff wait for goes before a full queue");
+        eventQueue.postUrgent(event(9));
+        assertEquals(
+                9,
+                nodeNumber(eventQueue.poll()),
+                "an urgent event is polled before the events of a full queue");
         for (int i = 0; i < 5; i++) {
-            assertEquals(i, number(inbox.poll(TimeUnit.SECONDS.toNanos(10))));
+            assertEquals(i, nodeNumber(eventQueue.poll(TimeUnit.SECONDS.toNanos(10))));
         }
         poster.join();
     }
 
     @Test
-    void anIdleOwnerSleepsAndIsWokenByWhatIsUrgent() throws Exception {
-        EventQueue inbox = new EventQueue(2);
-        CompletableFuture<Integer> got = new CompletableFuture<>();
-        Thread owner =
+    void anIdleCoordinatorSleepsAndIsWokenByAnUrgentEvent() throws Exception {
+        EventQueue eventQueue = new EventQueue(2);
+        CompletableFuture<Integer> polledNumber = new CompletableFuture<>();
+        Thread coordinator =
                 ProxyTestSupport.daemon(
                         () -> {
-                            ProxyEvent notice = inbox.poll(TimeUnit.SECONDS.toNanos(15));
-                            got.complete(
-                                    number(
-                                            notice instanceof ProxyEvent.QueueWakeup
-                                                    ? inbox.poll()
-                                                    : notice));
+                            ProxyEvent event = eventQueue.poll(TimeUnit.SECONDS.toNanos(15));
+                            polledNumber.complete(
+                                    nodeNumber(
+                                            event instanceof ProxyEvent.QueueWakeup
+                                                    ? eventQueue.poll()
+                                                    : event));
                             return null;
                         });
-        ProxyTestSupport.waitUntil(() -> owner.getState() == Thread.State.TIMED_WAITING);
-        inbox.postUrgent(notice(7));
-        assertEquals(7, got.get(10, TimeUnit.SECONDS));
+        ProxyTestSupport.waitUntil(() -> coordinator.getState() == Thread.State.TIMED_WAITING);
+        eventQueue.postUrgent(event(7));
+        assertEquals(7, polledNumber.get(10, TimeUnit.SECONDS));
     }
 
     @Test
-    void whileItsTakerIsBehindAcceptingAsksNowAndThenAndLosesNoClient() throws Exception {
-        AtomicBoolean mayTake = new AtomicBoolean();
-        AtomicInteger asked = new AtomicInteger();
-        CountDownLatch taken = new CountDownLatch(3);
-        Acceptor accept =
+    void anAcceptorUnderBackpressureChecksPeriodicallyAndLosesNoConnection() throws Exception {
+        AtomicBoolean canAccept = new AtomicBoolean();
+        AtomicInteger checkCount = new AtomicInteger();
+        CountDownLatch accepted = new CountDownLatch(3);
+        Acceptor acceptor =
                 new Acceptor(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         16,
                         () -> {
-                            asked.incrementAndGet();
-                            return mayTake.get();
+                            checkCount.incrementAndGet();
+                            return canAccept.get();
                         },
-                        channel -> taken.countDown());
+                        channel -> accepted.countDown());
         Thread thread =
                 ProxyTestSupport.daemon(
                         () -> {
-                            accept.run();
+                            acceptor.run();
                             return null;
                         });
         Socket[] clients = new Socket[3];
         for (int i = 0; i < clients.length; i++) {
-            clients[i] = new Socket(accept.address().getAddress(), accept.address().getPort());
+            clients[i] = new Socket(acceptor.address().getAddress(), acceptor.address().getPort());
         }
-        ProxyTestSupport.waitUntil(() -> asked.get() > 0);
-        long from = System.nanoTime();
-        int first = asked.get();
+        ProxyTestSupport.waitUntil(() -> checkCount.get() > 0);
+        long startNanos = System.nanoTime();
+        int checksBefore = checkCount.get();
         Thread.sleep(200);
-        long turns = asked.get() - first;
-        long most = (System.nanoTime() - from) / 200_000 + 50;
+        long checks = checkCount.get() - checksBefore;
+        long maxChecks = (System.nanoTime() - startNanos) / 200_000 + 50;
         assertTrue(
-                turns <= most, "asked " + turns + " times where a sleep of 0.2 ms allows " + most);
-        assertEquals(3, taken.getCount());
-        mayTake.set(true);
-        assertTrue(taken.await(10, TimeUnit.SECONDS));
+                checks <= maxChecks,
+                "checked " + checks + " times, but pauses of 0.2 ms allow only " + maxChecks);
+        assertEquals(3, accepted.getCount());
+        canAccept.set(true);
+        assertTrue(accepted.await(10, TimeUnit.SECONDS));
         ProxyTestSupport.waitUntil(() -> thread.getState() == Thread.State.RUNNABLE);
-        int idle = asked.get();
+        int checksWhenEmpty = checkCount.get();
         Thread.sleep(50);
-        assertTrue(asked.get() - idle <= 1, "an empty queue is not asked about");
-        accept.stop();
+        assertTrue(
+                checkCount.get() - checksWhenEmpty <= 1,
+                "canAccept is not checked while the accept queue is empty");
+        acceptor.stop();
         for (Socket client : clients) {
             client.close();
         }
     }
 
-    private static ProxyEvent notice(int number) {
+    private static ProxyEvent event(int number) {
         return new ProxyEvent.NodeMaintenanceChanged(new NodeId(number), true, null);
     }
 
-    private static int number(ProxyEvent notice) {
-        return (int) ((ProxyEvent.NodeMaintenanceChanged) notice).node().value();
+    private static int nodeNumber(ProxyEvent event) {
+        return (int) ((ProxyEvent.NodeMaintenanceChanged) event).node().value();
     }
 }
