--- a/src/test/java/cairnbridge/proxy/AttemptTest.java
+++ b/src/test/java/cairnbridge/proxy/AttemptTest.java
@@ -43,7 +43,7 @@
                 }
             };
 
-    /** No coordinator thread polls this queue: it stands for one that is busy during the test. */
+    /** No coordinator thread polls this queue: the thread counts as busy during the test. */
     private final EventQueue eventQueue = new EventQueue(99);
 
     private final ProxyMetrics metrics = new ProxyMetrics(List.of("view"));
--- a/src/test/java/cairnbridge/proxy/ProxyTest.java
+++ b/src/test/java/cairnbridge/proxy/ProxyTest.java
@@ -392,8 +392,9 @@
         waitUntil(() -> cache.requests.size() == 1);
         Thread drainThread = new Thread(proxy::drain);
         drainThread.start();
-        // At first the drain changes nothing for connected clients, because the proxy that was
-        // restarted before may not be ready yet. Only the deadlines of their requests are limited.
+        // At first the drain changes nothing for connected clients, because another proxy that
+        // was restarted before this one may not be ready yet. Only the deadlines of their requests
+        // are limited.
         Thread.sleep(700);
         send(idleClient, "GET /view/quick", ttlHeader(9000).replace("9b1f", "5d13"), "");
         assertFalse(readMessage(idleClient).contains("Connection: close"));
--- a/src/test/java/cairnbridge/proxy/ProxyTestSupport.java
+++ b/src/test/java/cairnbridge/proxy/ProxyTestSupport.java
@@ -37,15 +37,15 @@
     static final String RESET_CONNECTION = "reset";
 
     /**
-     * Prefix of a response that is sent as it stands, with CRLF for each semicolon; then the stub
-     * closes.
+     * Prefix of a whole HTTP response with CRLF written as semicolon. The stub server sends the
+     * response without the prefix and closes the connection.
      */
     static final String ANSWER_AND_CLOSE = "and close: ";
 
     /** Sends nothing and leaves the connection open. */
     static final String SILENT = "silent";
 
-    /** A discovery watch without changes: only heartbeats. */
+    /** Keeps a discovery watch open and sends only heartbeats on it. */
     static final String QUIET = "quiet";
 
     /** An incremental endpoint list that changes nothing. */
@@ -64,7 +64,7 @@
     /** Further members of the configuration file, each followed by a comma. */
     String extraConfig = "";
 
-    /** Further members of its settings object, each followed by a comma. */
+    /** Further members of the settings object in that file, each followed by a comma. */
     String extraSettings = "";
 
     String hedging = "false";
@@ -89,7 +89,7 @@
     /**
      * A stub HTTP server that records the requests it receives. Its handler returns a response as
      * {@code status|header|body}, a whole HTTP response with CRLF written as semicolon, or one of
-     * the constants above.
+     * the special responses, such as {@link #SILENT}.
      */
     class StandInServer implements AutoCloseable {
         final List<String> requests = new CopyOnWriteArrayList<>();
@@ -168,8 +168,8 @@
         }
 
         /**
-         * Responds to a discovery watch without changes: sends an empty line every 100 ms until the
-         * peer closes.
+         * Responds to a discovery watch with an empty line every 100 ms, until the peer closes the
+         * connection.
          */
         private void sendHeartbeats(Socket socket) throws IOException, InterruptedException {
             String head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
