--- a/src/main/java/cairnbridge/zones/consensus/AcceptorState.java
+++ b/src/main/java/cairnbridge/zones/consensus/AcceptorState.java
@@ -4,28 +4,27 @@
 import java.util.Optional;
 
 /**
- * What one voter has promised and accepted. A transition gives the next state, which has to be
- * persisted before the answer is sent. Of any two majorities one voter is in both, so that a
- * proposer that prepares learns what a majority has accepted.
+ * The acceptor state of one voter. Immutable: {@link #handle} returns the next state, which has to
+ * be persisted before the answer is sent. Any two majorities share a voter, so the promises of a
+ * majority always contain the newest plan that a majority has accepted.
  *
  * @param promised the highest ballot that was promised
- * @param accepted the ballot that was accepted last
+ * @param accepted the ballot of the plan that was accepted last
  * @param plan the plan that was accepted last
  */
 public record AcceptorState(Ballot promised, Ballot accepted, Plan plan) {
-    /** A voter that has promised nothing. */
+    /** The state of a voter that has promised and accepted nothing. */
     public static final AcceptorState EMPTY =
             new AcceptorState(Ballot.NONE, Ballot.NONE, Plan.EMPTY);
 
-    /**
-     * What follows from a message.
+    /* The result of handling a message.
      *
-     * @param next the next state, which has to be persisted; empty if the state stays
-     * @param answer what is sent once the next state is persisted
+     * @param next the next state, which has to be persisted; empty if the state is unchanged
+     * @param answer the answer to send once the next state is persisted
      */
     public record Transition(Optional<AcceptorState> next, ConsensusMessage answer) {}
 
-    /** Handles a message of a proposer. */
+    /** Handles a Prepare or Accept message of a proposer; rejects any other message. */
     public Transition handle(ConsensusMessage message) {
         if (message instanceof ConsensusMessage.Prepare prepare) {
             return prepare(prepare.ballot());
--- a/src/main/java/cairnbridge/zones/consensus/AcceptorStateFile.java
+++ b/src/main/java/cairnbridge/zones/consensus/AcceptorStateFile.java
@@ -6,26 +6,26 @@
 import java.util.zip.CRC32C;
 
 /**
- * Persists a voter's state over the end of its process and over a power loss: a checksum and the
- * state, written to another file which then replaces the old one. Guards against a voter that
- * forgets what it has promised. Every method may block for as long as the disk takes.
+ * Persists a voter's state across a restart of its process and a power loss. The file contains a
+ * checksum and the encoded state; it is written under a temporary name, synced and renamed over the
+ * old file. Guards against a voter that breaks a promise after a restart. All methods block on disk
+ * I/O.
  */
 public final class AcceptorStateFile {
-    private static final String UNFINISHED_SUFFIX = ".new";
+    private static final String TEMPORARY_SUFFIX = ".new";
 
     private final StorageDirectory directory;
     private final String name;
 
-    /** A file of this name in a directory. */
+    /** Uses the file of a name in a directory. */
     public AcceptorStateFile(StorageDirectory directory, String name) {
         this.directory = directory;
         this.name = name;
     }
 
-    /**
-     * The persisted state, {@link AcceptorState#EMPTY} if there is no file.
+    /* Reads the persisted state; {@link AcceptorState#EMPTY} if there is no file.
      *
-     * @throws IOException if there is one that is damaged
+     * @throws IOException if the file is damaged or cannot be read
      */
     public AcceptorState read() throws IOException {
         if (!directory.listFiles().contains(name)) {
@@ -33,22 +33,25 @@
         }
         ByteBuffer file = ByteBuffer.wrap(directory.read(name));
         if (file.remaining() < Long.BYTES) {
-            throw new IOException("is cut short: " + name);
+            throw new IOException("truncated acceptor state file: " + name);
         }
         long checksum = file.getLong();
         byte[] content = new byte[file.remaining()];
         file.get(content);
         if (checksum != checksum(content)) {
-            throw new IOException("has another checksum: " + name);
+            throw new IOException("checksum mismatch in acceptor state file: " + name);
         }
         try {
             return ConsensusCodec.decodeState(content);
         } catch (IllegalArgumentException e) {
-            throw new IOException("is no acceptor state: " + name, e);
+            throw new IOException("cannot decode acceptor state file: " + name, e);
         }
     }
 
-    /** Once it returns, a power loss does not bring the old state back; if it throws, it may. */
+    /**
+     * Replaces the persisted state. After a normal return a power loss cannot restore the old
+     * state; after an exception either state may be read.
+     */
     public void write(AcceptorState state) throws IOException {
         byte[] content = ConsensusCodec.encode(state);
         byte[] file =
@@ -56,10 +59,10 @@
                         .putLong(checksum(content))
                         .put(content)
                         .array();
-        String unfinished = name + UNFINISHED_SUFFIX;
-        directory.write(unfinished, file);
-        directory.sync(unfinished);
-        directory.rename(unfinished, name);
+        String temporaryName = name + TEMPORARY_SUFFIX;
+        directory.write(temporaryName, file);
+        directory.sync(temporaryName);
+        directory.rename(temporaryName, name);
         directory.syncDirectory();
     }
 
--- a/src/main/java/cairnbridge/zones/consensus/Ballot.java
+++ b/src/main/java/cairnbridge/zones/consensus/Ballot.java
@@ -1,16 +1,16 @@
 package cairnbridge.zones.consensus;
 
 /**
- * The number of a proposal. No two proposals of a fleet have the same.
+ * The number of a proposal, unique within a fleet.
  *
- * @param round the round, which counts first
- * @param proposer the member that proposes, which decides between equal rounds
+ * @param round the round, compared first
+ * @param proposer the name of the proposing member, compared if the rounds are equal
  */
 public record Ballot(long round, String proposer) implements Comparable<Ballot> {
-    /** Lower than that of any proposal. */
+    /** Lower than the ballot of any proposal. */
     public static final Ballot NONE = new Ballot(0, "");
 
-    /** The next ballot of a proposer, higher than this one and another. */
+    /** The next ballot of a proposer, higher than both this ballot and another. */
     public Ballot superseding(Ballot other, String nextProposer) {
         return new Ballot(Math.max(round, other.round) + 1, nextProposer);
     }
--- a/src/main/java/cairnbridge/zones/consensus/ConsensusCodec.java
+++ b/src/main/java/cairnbridge/zones/consensus/ConsensusCodec.java
@@ -16,14 +16,14 @@
 import java.io.UncheckedIOException;
 
 /**
- * Consensus messages and a voter's state as CBOR (RFC 8949): an array of the kind, the ballot, and
- * the fields of that kind.
+ * Encodes consensus messages and acceptor states as CBOR (RFC 8949): an array of the kind, the
+ * ballot, and the fields of that kind.
  */
 public final class ConsensusCodec {
     private static final int INITIAL_BYTES = 128;
     private static final CBORFactory CBOR = new CBORFactory();
 
-    /** What the bytes hold; the ordinals are part of the protocol. */
+    /** The kind of an encoded value. The ordinals are part of the wire and file formats. */
     private enum Kind {
         PREPARE,
         PROMISE,
@@ -33,7 +33,7 @@
         ACCEPTOR_STATE
     }
 
-    private interface Fields {
+    private interface FieldWriter {
         void writeTo(CBORGenerator generator) throws IOException;
     }
 
@@ -80,7 +80,7 @@
                 });
     }
 
-    private static byte[] encode(Kind kind, Ballot ballot, Fields fields) {
+    private static byte[] encode(Kind kind, Ballot ballot, FieldWriter fields) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(INITIAL_BYTES);
         try (CBORGenerator generator = CBOR.createGenerator(out)) {
             generator.writeStartArray();
@@ -106,7 +106,7 @@
     /**
      * Decodes a message.
      *
-     * @throws IllegalArgumentException if the bytes are no message
+     * @throws IllegalArgumentException if the bytes are not an encoded message
      */
     public static ConsensusMessage decodeMessage(byte[] bytes) {
         return decode(bytes, ConsensusCodec::readMessage);
@@ -115,7 +115,7 @@
     /**
      * Decodes a voter's state.
      *
-     * @throws IllegalArgumentException if the bytes are none
+     * @throws IllegalArgumentException if the bytes are not an encoded acceptor state
      */
     public static AcceptorState decodeState(byte[] bytes) {
         return decode(bytes, ConsensusCodec::readState);
@@ -131,8 +131,9 @@
             require(parser.nextToken() == JsonToken.END_ARRAY);
             return value;
         } catch (IOException | RuntimeException e) {
-            // RuntimeException: plans check their values, and Jackson some of its input.
-            throw new IllegalArgumentException("cannot be decoded", e);
+            // RuntimeException: constructors of plans and Jackson reject some malformed input with
+            // it.
+            throw new IllegalArgumentException("malformed consensus message or acceptor state", e);
         }
     }
 
@@ -145,7 +146,7 @@
             case ACCEPT -> new ConsensusMessage.Accept(ballot, readPlan(parser));
             case ACCEPTED -> new ConsensusMessage.Accepted(ballot);
             case REJECTED -> new ConsensusMessage.Rejected(ballot, readBallot(parser));
-            case ACCEPTOR_STATE -> throw new IOException("a state is no message");
+            case ACCEPTOR_STATE -> throw new IOException("an acceptor state is not a message");
         };
     }
 
--- a/src/main/java/cairnbridge/zones/consensus/ConsensusMessage.java
+++ b/src/main/java/cairnbridge/zones/consensus/ConsensusMessage.java
@@ -2,28 +2,26 @@
 
 import cairnbridge.zones.plan.Plan;
 
-/** The messages between a proposer and the voters. */
+/** The CASPaxos messages between a proposer and the voters. */
 public sealed interface ConsensusMessage {
-    /** The proposal that it belongs to. */
+    /** The ballot of the proposal that the message belongs to. */
     Ballot ballot();
 
-    /** Asks a voter to promise that it accepts no lower ballot. */
+    /** Requests a voter's promise to accept no proposal with a lower ballot. */
     record Prepare(Ballot ballot) implements ConsensusMessage {}
 
-    /**
-     * The voter promises that.
-     *
-     * @param accepted the ballot that it accepted last; {@link Ballot#NONE} if there is none
-     * @param plan the plan that it accepted last; {@link RequestPolicy#EMPTY} if there is none
+    /* A voter's promise to accept no proposal with a lower ballot.
+     * @param accepted the ballot of the plan that the voter accepted last; {@link Ballot#NONE} if none
+     * @param plan the plan that the voter accepted last; {@link Plan#EMPTY} if none
      */
     record Promise(Ballot ballot, Ballot accepted, Plan plan) implements ConsensusMessage {}
 
-    /** Asks a voter to accept a plan. */
+    /** Requests that a voter accept a plan. */
     record Accept(Ballot ballot, Plan plan) implements ConsensusMessage {}
 
-    /** The voter has accepted it. */
+    /** Confirms that a voter has accepted and persisted the plan of the ballot. */
     record Accepted(Ballot ballot) implements ConsensusMessage {}
 
-    /** The voter has promised a higher ballot. */
+    /** Rejects a message because the voter has already promised an equal or higher ballot. */
     record Rejected(Ballot ballot, Ballot promised) implements ConsensusMessage {}
 }
--- a/src/main/java/cairnbridge/zones/consensus/Proposal.java
+++ b/src/main/java/cairnbridge/zones/consensus/Proposal.java
@@ -9,19 +9,20 @@
 import java.util.Set;
 
 /**
- * One proposal and what the voters have answered to it. Immutable: each answer gives another one.
+ * The state of one proposal with the answers of the voters so far. Immutable: each answer returns a
+ * new proposal.
  *
- * @param ballot its number
- * @param voters how many voters there are
- * @param promises the promises that have come, by voter
- * @param proposed the plan, once a majority has promised
- * @param accepted the voters that have accepted the plan
- * @param rejected whether a voter has promised a higher ballot
- * @param highestBallot the highest ballot that is known
+ * @param ballot the number of the proposal
+ * @param voterCount the number of voters in the fleet
+ * @param promises the promises received so far, by voter
+ * @param proposed the proposed plan; empty until a majority has promised
+ * @param accepted the voters that have accepted the proposed plan
+ * @param rejected whether a voter has rejected the proposal
+ * @param highestBallot the highest ballot that this proposal or a rejection contains
  */
 public record Proposal(
         Ballot ballot,
-        int voters,
+        int voterCount,
         Map<String, ConsensusMessage.Promise> promises,
         Optional<Plan> proposed,
         Set<String> accepted,
@@ -33,26 +34,29 @@
         accepted = Set.copyOf(accepted);
     }
 
-    /** A proposal that nobody has answered yet. */
+    /** Starts a proposal without answers. */
     public static Proposal begin(Ballot ballot, int voters) {
         return new Proposal(ballot, voters, Map.of(), Optional.empty(), Set.of(), false, ballot);
     }
 
     private boolean isMajority(int count) {
-        return 2 * count > voters;
+        return 2 * count > voterCount;
     }
 
-    /** Whether a plan may be proposed now, and none has been. */
+    /** Whether a majority has promised and no plan has been proposed yet. */
     public boolean isPromised() {
         return proposed.isEmpty() && isMajority(promises.size());
     }
 
-    /** Whether the plan that was proposed is agreed on. */
+    /** Whether a majority has accepted the proposed plan. */
     public boolean isAgreed() {
         return proposed.isPresent() && isMajority(accepted.size());
     }
 
-    /** The plan that the next one has to be made out of. */
+    /**
+     * The plan with the highest accepted ballot among the promises. The next plan must be derived
+     * from it, as a majority may have accepted it.
+     */
     public Plan newestAccepted() {
         return promises.values().stream()
                 .max(Comparator.comparing(ConsensusMessage.Promise::accepted))
@@ -60,26 +64,28 @@
                 .orElse(Plan.EMPTY);
     }
 
-    /** The same with the plan that is proposed. */
+    /** Returns this proposal with the proposed plan. */
     public Proposal withPlan(Plan plan) {
         return new Proposal(
-                ballot, voters, promises, Optional.of(plan), accepted, rejected, highestBallot);
+                ballot, voterCount, promises, Optional.of(plan), accepted, rejected, highestBallot);
     }
 
-    /** The same with a voter's answer; an answer to another proposal changes nothing. */
+    /** Returns this proposal with a voter's answer; ignores an answer to another ballot. */
     public Proposal withAnswer(String voter, ConsensusMessage answer) {
         if (!answer.ballot().equals(ballot)) {
             return this;
         }
         if (answer instanceof ConsensusMessage.Promise promise && proposed.isEmpty()) {
-            Map<String, ConsensusMessage.Promise> more = new HashMap<>(promises);
-            more.put(voter, promise);
-            return new Proposal(ballot, voters, more, proposed, accepted, rejected, highestBallot);
+            Map<String, ConsensusMessage.Promise> updated = new HashMap<>(promises);
+            updated.put(voter, promise);
+            return new Proposal(
+                    ballot, voterCount, updated, proposed, accepted, rejected, highestBallot);
         }
         if (answer instanceof ConsensusMessage.Accepted && proposed.isPresent()) {
-            Set<String> more = new HashSet<>(accepted);
-            more.add(voter);
-            return new Proposal(ballot, voters, promises, proposed, more, rejected, highestBallot);
+            Set<String> updated = new HashSet<>(accepted);
+            updated.add(voter);
+            return new Proposal(
+                    ballot, voterCount, promises, proposed, updated, rejected, highestBallot);
         }
         if (answer instanceof ConsensusMessage.Rejected rejection) {
             return withRejection(rejection.promised());
@@ -89,6 +95,6 @@
 
     private Proposal withRejection(Ballot promised) {
         Ballot highest = promised.compareTo(highestBallot) > 0 ? promised : highestBallot;
-        return new Proposal(ballot, voters, promises, proposed, accepted, true, highest);
+        return new Proposal(ballot, voterCount, promises, proposed, accepted, true, highest);
     }
 }
--- a/src/test/java/cairnbridge/zones/consensus/ConsensusTest.java
+++ b/src/test/java/cairnbridge/zones/consensus/ConsensusTest.java
@@ -30,109 +30,125 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Every order in which messages of some proposers and three voters can arrive, get lost or come
- * late, up to a depth: of each epoch one plan at most is ever agreed on, and a later agreement is
- * built on the earlier one.
+ * Model checking of the consensus with three voters and one to three proposers. Explores the orders
+ * in which messages are delivered, up to a depth, and random runs beyond it. Invariants: at most
+ * one plan is agreed on per epoch, and each agreed plan is derived from the previously agreed one.
  */
 class ConsensusTest {
     private static final int VOTERS = 3;
 
-    private record Mail(int proposer, int voter, ConsensusMessage vote) {}
+    private record InFlightMessage(int proposer, int voter, ConsensusMessage message) {}
 
-    /** Whoever accepted which ballot, ever; agreed are the plans that a majority has accepted. */
-    private record World(
+    /**
+     * A state of the model. {@code acceptedBy} contains all voters that ever accepted a ballot; a
+     * plan is agreed on once a majority of the voters has accepted its ballot.
+     */
+    private record SystemState(
             List<AcceptorState> voters,
             List<Proposal> proposers,
             List<Integer> restarts,
-            Set<Mail> mail,
-            Map<Ballot, Set<Integer>> accepted,
+            Set<InFlightMessage> inFlight,
+            Map<Ballot, Set<Integer>> acceptedBy,
             Map<Ballot, Plan> plans) {}
 
-    private static Plan after(Plan plan, String maker) {
-        return new Plan(plan.epoch() + 1, Map.of(), Map.of(), maker + "/" + plan.proposer());
+    private static Plan nextPlan(Plan plan, String proposer) {
+        return new Plan(plan.epoch() + 1, Map.of(), Map.of(), proposer + "/" + plan.proposer());
     }
 
-    private static World begin(int proposers) {
+    private static SystemState initialState(int proposers) {
         List<AcceptorState> voters = new ArrayList<>();
-        List<Proposal> attempts = new ArrayList<>();
+        List<Proposal> proposals = new ArrayList<>();
         List<Integer> restarts = new ArrayList<>();
-        Set<Mail> mail = new HashSet<>();
+        Set<InFlightMessage> inFlight = new HashSet<>();
         for (int i = 0; i < VOTERS; i++) {
             voters.add(AcceptorState.EMPTY);
         }
         for (int i = 0; i < proposers; i++) {
-            attempts.add(Proposal.begin(new Ballot(1, "p" + i), VOTERS));
+            proposals.add(Proposal.begin(new Ballot(1, "p" + i), VOTERS));
             restarts.add(0);
-            send(mail, i, new ConsensusMessage.Prepare(attempts.get(i).ballot()));
+            sendToVoters(inFlight, i, new ConsensusMessage.Prepare(proposals.get(i).ballot()));
         }
-        return new World(voters, attempts, restarts, mail, Map.of(), Map.of());
+        return new SystemState(voters, proposals, restarts, inFlight, Map.of(), Map.of());
     }
 
-    private static void send(Set<Mail> mail, int proposer, ConsensusMessage vote) {
+    private static void sendToVoters(
+            Set<InFlightMessage> inFlight, int proposer, ConsensusMessage message) {
         for (int voter = 0; voter < VOTERS; voter++) {
-            mail.add(new Mail(proposer, voter, vote));
+            inFlight.add(new InFlightMessage(proposer, voter, message));
         }
     }
 
-    private static World arrives(World world, Mail one) {
-        Set<Mail> mail = new HashSet<>(world.mail);
-        mail.remove(one);
+    private static SystemState deliver(SystemState state, InFlightMessage delivered) {
+        Set<InFlightMessage> inFlight = new HashSet<>(state.inFlight);
+        inFlight.remove(delivered);
         boolean toVoter =
-                one.vote instanceof ConsensusMessage.Prepare
-                        || one.vote instanceof ConsensusMessage.Accept;
+                delivered.message instanceof ConsensusMessage.Prepare
+                        || delivered.message instanceof ConsensusMessage.Accept;
         if (toVoter) {
-            AcceptorState.Transition outcome = world.voters.get(one.voter).handle(one.vote);
-            List<AcceptorState> voters = new ArrayList<>(world.voters);
-            outcome.next().ifPresent(next -> voters.set(one.voter, next));
-            mail.add(new Mail(one.proposer, one.voter, outcome.answer()));
-            Map<Ballot, Set<Integer>> accepted = new HashMap<>(world.accepted);
-            Map<Ballot, Plan> plans = new HashMap<>(world.plans);
+            AcceptorState.Transition outcome =
+                    state.voters.get(delivered.voter).handle(delivered.message);
+            List<AcceptorState> voters = new ArrayList<>(state.voters);
+            outcome.next().ifPresent(next -> voters.set(delivered.voter, next));
+            inFlight.add(
+                    new InFlightMessage(delivered.proposer, delivered.voter, outcome.answer()));
+            Map<Ballot, Set<Integer>> accepted = new HashMap<>(state.acceptedBy);
+            Map<Ballot, Plan> plans = new HashMap<>(state.plans);
             if (outcome.answer() instanceof ConsensusMessage.Accepted
-                    && one.vote instanceof ConsensusMessage.Accept accept) {
-                Set<Integer> who = new HashSet<>(accepted.getOrDefault(accept.ballot(), Set.of()));
-                who.add(one.voter);
-                accepted.put(accept.ballot(), who);
+                    && delivered.message instanceof ConsensusMessage.Accept accept) {
+                Set<Integer> acceptors =
+                        new HashSet<>(accepted.getOrDefault(accept.ballot(), Set.of()));
+                acceptors.add(delivered.voter);
+                accepted.put(accept.ballot(), acceptors);
                 plans.put(accept.ballot(), accept.plan());
             }
-            return new World(voters, world.proposers, world.restarts, mail, accepted, plans);
+            return new SystemState(
+                    voters, state.proposers, state.restarts, inFlight, accepted, plans);
         }
-        Proposal attempt = world.proposers.get(one.proposer).withAnswer("v" + one.voter, one.vote);
-        if (attempt.isPromised()) {
-            attempt =
-                    attempt.withPlan(after(attempt.newestAccepted(), attempt.ballot().toString()));
-            send(
-                    mail,
-                    one.proposer,
+        Proposal proposal =
+                state.proposers
+                        .get(delivered.proposer)
+                        .withAnswer("v" + delivered.voter, delivered.message);
+        if (proposal.isPromised()) {
+            proposal =
+                    proposal.withPlan(
+                            nextPlan(proposal.newestAccepted(), proposal.ballot().toString()));
+            sendToVoters(
+                    inFlight,
+                    delivered.proposer,
                     new ConsensusMessage.Accept(
-                            attempt.ballot(), attempt.proposed().orElseThrow()));
+                            proposal.ballot(), proposal.proposed().orElseThrow()));
         }
-        List<Proposal> attempts = new ArrayList<>(world.proposers);
-        attempts.set(one.proposer, attempt);
-        return new World(world.voters, attempts, world.restarts, mail, world.accepted, world.plans);
+        List<Proposal> proposals = new ArrayList<>(state.proposers);
+        proposals.set(delivered.proposer, proposal);
+        return new SystemState(
+                state.voters, proposals, state.restarts, inFlight, state.acceptedBy, state.plans);
     }
 
-    /** A proposer that crashed, or was refused, begins anew; its old mail may still arrive. */
-    private static World restarts(World world, int proposer) {
-        Proposal old = world.proposers.get(proposer);
-        Proposal fresh =
+    /**
+     * Starts a new proposal after a crash or a rejection; messages of the old one stay in flight.
+     */
+    private static SystemState restartProposer(SystemState state, int proposer) {
+        Proposal old = state.proposers.get(proposer);
+        Proposal next =
                 Proposal.begin(
                         old.ballot().superseding(old.highestBallot(), "p" + proposer), VOTERS);
-        List<Proposal> attempts = new ArrayList<>(world.proposers);
-        attempts.set(proposer, fresh);
-        List<Integer> restarts = new ArrayList<>(world.restarts);
+        List<Proposal> proposals = new ArrayList<>(state.proposers);
+        proposals.set(proposer, next);
+        List<Integer> restarts = new ArrayList<>(state.restarts);
         restarts.set(proposer, restarts.get(proposer) + 1);
-        Set<Mail> mail = new HashSet<>(world.mail);
-        send(mail, proposer, new ConsensusMessage.Prepare(fresh.ballot()));
-        return new World(world.voters, attempts, restarts, mail, world.accepted, world.plans);
+        Set<InFlightMessage> inFlight = new HashSet<>(state.inFlight);
+        sendToVoters(inFlight, proposer, new ConsensusMessage.Prepare(next.ballot()));
+        return new SystemState(
+                state.voters, proposals, restarts, inFlight, state.acceptedBy, state.plans);
     }
 
-    private static void check(World world) {
+    private static void assertSafety(SystemState state) {
         Map<Long, Plan> byEpoch = new HashMap<>();
         Map<Ballot, Plan> agreed = new HashMap<>();
-        world.accepted.forEach(
-                (ballot, who) -> {
-                    if (2 * who.size() > VOTERS) {
-                        Plan plan = world.plans.get(ballot);
+        state.acceptedBy.forEach(
+                (ballot, acceptors) -> {
+                    if (2 * acceptors.size() > VOTERS) {
+                        Plan plan = state.plans.get(ballot);
                         agreed.put(ballot, plan);
                         Plan other = byEpoch.put(plan.epoch(), plan);
                         if (other != null && !other.equals(plan)) {
@@ -156,28 +172,30 @@
                                                 next
                                                         + " was agreed on after "
                                                         + plan
-                                                        + " and is not built on it");
+                                                        + " and is not derived from it");
                                     }
                                 }));
     }
 
-    /** How many different worlds were looked at. */
-    private static int explore(int proposers, int depth, int mostRestarts, int most) {
-        Set<World> seen = new HashSet<>();
-        ArrayDeque<World> now = new ArrayDeque<>(List.of(begin(proposers)));
+    /**
+     * Checks all reachable states up to a depth, at most {@code maxStates}; returns their number.
+     */
+    private static int explore(int proposers, int depth, int maxRestarts, int maxStates) {
+        Set<SystemState> seen = new HashSet<>();
+        ArrayDeque<SystemState> now = new ArrayDeque<>(List.of(initialState(proposers)));
         for (int i = 0; i < depth && !now.isEmpty(); i++) {
-            ArrayDeque<World> next = new ArrayDeque<>();
-            for (World world : now) {
-                for (Mail one : world.mail) {
-                    World after = arrives(world, one);
-                    if (seen.size() < most && seen.add(after)) {
-                        check(after);
+            ArrayDeque<SystemState> next = new ArrayDeque<>();
+            for (SystemState state : now) {
+                for (InFlightMessage delivered : state.inFlight) {
+                    SystemState after = deliver(state, delivered);
+                    if (seen.size() < maxStates && seen.add(after)) {
+                        assertSafety(after);
                         next.add(after);
                     }
                 }
                 for (int p = 0; p < proposers; p++) {
-                    if (world.restarts.get(p) < mostRestarts && seen.size() < most) {
-                        World after = restarts(world, p);
+                    if (state.restarts.get(p) < maxRestarts && seen.size() < maxStates) {
+                        SystemState after = restartProposer(state, p);
                         if (seen.add(after)) {
                             next.add(after);
                         }
@@ -191,115 +209,121 @@
 
     @ParameterizedTest
     @CsvSource({"1, 14, 1, 40000", "2, 12, 0, 80000", "2, 9, 1, 40000", "3, 7, 1, 40000"})
-    void inEveryOrderOfMessagesOnePlanAnEpochIsAgreedOn(
-            int proposers, int depth, int restarts, int most) {
-        int worlds = explore(proposers, depth, restarts, most);
-        assertTrue(worlds > 1_000, worlds + " worlds");
+    void everyMessageOrderAgreesOnAtMostOnePlanPerEpoch(
+            int proposers, int depth, int restarts, int maxStates) {
+        int states = explore(proposers, depth, restarts, maxStates);
+        assertTrue(states > 1_000, states + " states");
     }
 
     /**
-     * Beyond the depth that can be looked at whole: courses by chance, with loss, late mail and
-     * restarts.
+     * Covers runs longer than the exhaustive exploration can reach: random runs with lost and
+     * delayed messages and restarts of proposers.
      */
     @Test
-    void inLongCoursesByChanceOnePlanAnEpochIsAgreedOn() {
+    void longRandomRunsAgreeOnAtMostOnePlanPerEpoch() {
         int agreed = 0;
         for (long seed = 1; seed <= 4_000; seed++) {
-            RandomGenerator chance = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-            World world = begin(3);
-            for (int i = 0; i < 60 && !world.mail.isEmpty(); i++) {
-                List<Mail> mail = new ArrayList<>(world.mail);
-                mail.sort(Comparator.comparing(Mail::toString));
-                Mail one = mail.get(chance.nextInt(mail.size()));
-                int what = chance.nextInt(12);
-                if (what == 0) {
-                    Set<Mail> less = new HashSet<>(world.mail);
-                    less.remove(one);
-                    world =
-                            new World(
-                                    world.voters,
-                                    world.proposers,
-                                    world.restarts,
-                                    less,
-                                    world.accepted,
-                                    world.plans);
-                } else if (what == 1) {
-                    world = restarts(world, chance.nextInt(3));
+            RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
+            SystemState state = initialState(3);
+            for (int i = 0; i < 60 && !state.inFlight.isEmpty(); i++) {
+                List<InFlightMessage> inFlight = new ArrayList<>(state.inFlight);
+                inFlight.sort(Comparator.comparing(InFlightMessage::toString));
+                InFlightMessage delivered = inFlight.get(random.nextInt(inFlight.size()));
+                int action = random.nextInt(12);
+                if (action == 0) {
+                    Set<InFlightMessage> remaining = new HashSet<>(state.inFlight);
+                    remaining.remove(delivered);
+                    state =
+                            new SystemState(
+                                    state.voters,
+                                    state.proposers,
+                                    state.restarts,
+                                    remaining,
+                                    state.acceptedBy,
+                                    state.plans);
+                } else if (action == 1) {
+                    state = restartProposer(state, random.nextInt(3));
                 } else {
-                    world = arrives(world, one);
+                    state = deliver(state, delivered);
                 }
-                check(world);
+                assertSafety(state);
             }
             agreed +=
                     (int)
-                            world.accepted.values().stream()
-                                    .filter(who -> 2 * who.size() > VOTERS)
+                            state.acceptedBy.values().stream()
+                                    .filter(acceptors -> 2 * acceptors.size() > VOTERS)
                                     .count();
         }
         assertTrue(agreed > 4_000, agreed + " plans were agreed on");
     }
 
-    /** Guards against an exploration that finds nothing because it looks at nothing. */
+    /**
+     * Guards against a safety check that accepts every state: a voter that loses its state must be
+     * detected.
+     */
     @Test
-    void aVoterThatForgetsIsFoundOut() {
-        World world = begin(2);
-        world = deliver(world, 0, ConsensusMessage.Prepare.class, 0, 1);
-        world = deliver(world, 0, ConsensusMessage.Promise.class, 0, 1);
-        world = deliver(world, 0, ConsensusMessage.Accept.class, 0, 1);
-        List<AcceptorState> forgetful = new ArrayList<>(world.voters);
-        forgetful.set(1, AcceptorState.EMPTY);
-        World lost =
-                new World(
-                        forgetful,
-                        world.proposers,
-                        world.restarts,
-                        world.mail,
-                        world.accepted,
-                        world.plans);
+    void theSafetyCheckDetectsAVoterThatLosesItsState() {
+        SystemState state = initialState(2);
+        state = deliver(state, 0, ConsensusMessage.Prepare.class, 0, 1);
+        state = deliver(state, 0, ConsensusMessage.Promise.class, 0, 1);
+        state = deliver(state, 0, ConsensusMessage.Accept.class, 0, 1);
+        List<AcceptorState> votersAfterLoss = new ArrayList<>(state.voters);
+        votersAfterLoss.set(1, AcceptorState.EMPTY);
+        SystemState lost =
+                new SystemState(
+                        votersAfterLoss,
+                        state.proposers,
+                        state.restarts,
+                        state.inFlight,
+                        state.acceptedBy,
+                        state.plans);
         lost = deliver(lost, 1, ConsensusMessage.Prepare.class, 1, 2);
         lost = deliver(lost, 1, ConsensusMessage.Promise.class, 1, 2);
-        World wrong = deliver(lost, 1, ConsensusMessage.Accept.class, 1, 2);
-        assertThrows(AssertionError.class, () -> check(wrong));
+        SystemState unsafe = deliver(lost, 1, ConsensusMessage.Accept.class, 1, 2);
+        assertThrows(AssertionError.class, () -> assertSafety(unsafe));
     }
 
-    private static World deliver(
-            World world, int proposer, Class<? extends ConsensusMessage> kind, int... voters) {
-        World after = world;
+    private static SystemState deliver(
+            SystemState state,
+            int proposer,
+            Class<? extends ConsensusMessage> kind,
+            int... voters) {
+        SystemState after = state;
         for (int voter : voters) {
-            Mail one =
-                    after.mail.stream()
+            InFlightMessage delivered =
+                    after.inFlight.stream()
                             .filter(
-                                    mail ->
-                                            mail.proposer == proposer
-                                                    && mail.voter == voter
-                                                    && kind.isInstance(mail.vote))
+                                    candidate ->
+                                            candidate.proposer == proposer
+                                                    && candidate.voter == voter
+                                                    && kind.isInstance(candidate.message))
                             .findFirst()
                             .orElseThrow();
-            after = arrives(after, one);
+            after = deliver(after, delivered);
         }
         return after;
     }
 
     /**
-     * Guards against a voter that takes part again with an older register than one it has answered
-     * by: the bytes were forced, their name in the folder was not.
+     * Guards against a voter that restarts with an older state than one it has answered with,
+     * because the file was synced but the directory with its new name was not.
      */
     @Test
-    void aLossOfPowerNeverBringsBackARegisterThatWasAnsweredBy() throws IOException {
+    void aPowerLossNeverRestoresAnOlderStateThanTheLastOneWritten() throws IOException {
         for (int seed = 0; seed < 500; seed++) {
-            RandomGenerator chance = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-            SimulatedDisk disk = new SimulatedDisk(chance);
-            AcceptorStateFile file = new AcceptorStateFile(disk, "register");
+            RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
+            SimulatedDisk disk = new SimulatedDisk(random);
+            AcceptorStateFile file = new AcceptorStateFile(disk, "zones.state");
             int answered = 0;
             for (int round = 1; round <= 20; round++) {
-                disk.fails(chance.nextInt(4) == 0 ? 0.2 : 0);
+                disk.fails(random.nextInt(4) == 0 ? 0.2 : 0);
                 try {
                     file.write(new AcceptorState(new Ballot(round, "p1"), Ballot.NONE, Plan.EMPTY));
                     answered = round;
                 } catch (IOException e) {
                     assertTrue(e.getMessage().contains("No space"), e.toString());
                 }
-                if (chance.nextInt(3) == 0) {
+                if (random.nextInt(3) == 0) {
                     disk.losePower();
                     long read = file.read().promised().round();
                     assertTrue(
@@ -310,11 +334,11 @@
     }
 
     @Test
-    void aRegisterIsReadAsItWasWrittenAndASpoiltOneIsRefused(@TempDir Path folder)
+    void stateFilesAndMessagesRoundTripAndCorruptFilesAreRejected(@TempDir Path folder)
             throws IOException {
-        Path path = folder.resolve("register");
+        Path path = folder.resolve("zones.state");
         AcceptorStateFile file =
-                new AcceptorStateFile(new FileStorageDirectory(folder), "register");
+                new AcceptorStateFile(new FileStorageDirectory(folder), "zones.state");
         assertEquals(AcceptorState.EMPTY, file.read());
         Plan plan =
                 new Plan(
@@ -327,30 +351,29 @@
                                         RoutingReason.UNREACHABLE)),
                         Map.of(new Zone("c"), 5L),
                         "p1");
-        AcceptorState register = new AcceptorState(new Ballot(9, "p2"), new Ballot(8, "p1"), plan);
-        file.write(register);
-        assertEquals(register, file.read());
-        byte[] good = Files.readAllBytes(path);
-        for (int at = 0; at < good.length; at++) {
-            byte[] spoilt = good.clone();
-            spoilt[at] ^= 1;
-            Files.write(path, spoilt);
+        AcceptorState state = new AcceptorState(new Ballot(9, "p2"), new Ballot(8, "p1"), plan);
+        file.write(state);
+        assertEquals(state, file.read());
+        byte[] intact = Files.readAllBytes(path);
+        for (int at = 0; at < intact.length; at++) {
+            byte[] corrupted = intact.clone();
+            corrupted[at] ^= 1;
+            Files.write(path, corrupted);
             assertThrows(IOException.class, file::read, "byte " + at);
-            Files.write(path, java.util.Arrays.copyOf(good, at));
+            Files.write(path, java.util.Arrays.copyOf(intact, at));
             assertThrows(IOException.class, file::read, at + " bytes");
         }
-        for (ConsensusMessage vote :
+        for (ConsensusMessage message :
                 List.of(
-                        new ConsensusMessage.Prepare(register.promised()),
-                        new ConsensusMessage.Accepted(register.promised()),
-                        new ConsensusMessage.Promise(
-                                register.promised(), register.accepted(), plan),
-                        new ConsensusMessage.Accept(register.promised(), plan),
-                        new ConsensusMessage.Rejected(Ballot.NONE, register.promised()))) {
-            assertEquals(vote, ConsensusCodec.decodeMessage(ConsensusCodec.encode(vote)));
+                        new ConsensusMessage.Prepare(state.promised()),
+                        new ConsensusMessage.Accepted(state.promised()),
+                        new ConsensusMessage.Promise(state.promised(), state.accepted(), plan),
+                        new ConsensusMessage.Accept(state.promised(), plan),
+                        new ConsensusMessage.Rejected(Ballot.NONE, state.promised()))) {
+            assertEquals(message, ConsensusCodec.decodeMessage(ConsensusCodec.encode(message)));
             assertThrows(
                     IllegalArgumentException.class,
-                    () -> ConsensusCodec.decodeState(ConsensusCodec.encode(vote)));
+                    () -> ConsensusCodec.decodeState(ConsensusCodec.encode(message)));
         }
     }
 }
--- a/src/test/java/cairnbridge/zones/consensus/VoterFormatTest.java
+++ b/src/test/java/cairnbridge/zones/consensus/VoterFormatTest.java
@@ -14,7 +14,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What voters store and send keeps the form in which an earlier version has written it. */
+/**
+ * The state file and the messages of voters must stay compatible with the fixtures, which an
+ * earlier version has written.
+ */
 class VoterFormatTest {
     private static final Plan PLAN = PlanFormatTest.fixture();
     private static final Ballot LOWER = new Ballot(4, "proxy-a");
@@ -22,7 +25,7 @@
     private static final AcceptorState STORED = new AcceptorState(HIGHER, LOWER, PLAN);
     @TempDir Path folder;
 
-    private static Map<String, ConsensusMessage> votes() {
+    private static Map<String, ConsensusMessage> messages() {
         return Map.of(
                 "prepare", new ConsensusMessage.Prepare(HIGHER),
                 "promise", new ConsensusMessage.Promise(HIGHER, LOWER, PLAN),
@@ -32,7 +35,7 @@
     }
 
     @Test
-    void aRegisterFileOfAnEarlierVersionIsRead() throws Exception {
+    void aStateFileOfAnEarlierVersionIsRead() throws Exception {
         Fixtures.copy("voter", folder, "zones.state");
 
         assertEquals(
@@ -41,7 +44,7 @@
     }
 
     @Test
-    void theSameRegisterIsWrittenAsTheSameFolder() throws Exception {
+    void theSameStateIsWrittenAsTheSameFile() throws Exception {
         AcceptorStateFile file =
                 new AcceptorStateFile(new FileStorageDirectory(folder), "zones.state");
         file.write(new AcceptorState(LOWER, Ballot.NONE, Plan.EMPTY));
@@ -53,16 +56,16 @@
         try (var files = Files.list(folder)) {
             assertEquals(
                     List.of("zones.state"),
-                    files.map(each -> each.getFileName().toString()).toList());
+                    files.map(entry -> entry.getFileName().toString()).toList());
         }
     }
 
     @Test
-    void votesKeepTheirForm() throws Exception {
-        for (Map.Entry<String, ConsensusMessage> each : votes().entrySet()) {
-            byte[] written = Fixtures.bytes("votes/" + each.getKey() + ".cbor");
-            assertEquals(each.getValue(), ConsensusCodec.decodeMessage(written));
-            assertArrayEquals(written, ConsensusCodec.encode(each.getValue()), each.getKey());
+    void messagesKeepTheirEncoding() throws Exception {
+        for (Map.Entry<String, ConsensusMessage> entry : messages().entrySet()) {
+            byte[] fixture = Fixtures.bytes("votes/" + entry.getKey() + ".cbor");
+            assertEquals(entry.getValue(), ConsensusCodec.decodeMessage(fixture));
+            assertArrayEquals(fixture, ConsensusCodec.encode(entry.getValue()), entry.getKey());
         }
     }
 }
