--- a/src/main/java/cairnbridge/zones/routing/LoadShedding.java
+++ b/src/main/java/cairnbridge/zones/routing/LoadShedding.java
@@ -7,15 +7,17 @@
 import java.util.Map;
 import java.util.stream.IntStream;
 
-/** Which requests are shed where a plan says how many: those of the least benefit first. */
+/**
+ * Distributes the share of requests that a plan sheds over the categories of requests: the lowest
+ * priority weight is shed first.
+ */
 public final class LoadShedding {
     private LoadShedding() {}
 
-    /**
-     * The share of each category's requests that is shed.
+    /* Returns the share of each category's requests to shed.
      *
-     * @param rates requests that came lately, by category
-     * @param share the share of all requests that is shed
+     * @param rates the recent request rate of each category, in the order of the categories
+     * @param share the share of all requests to shed
      */
     public static Map<Settings.Category, Double> sharesToShed(
             List<Settings.Category> categories, double[] rates, double share) {
@@ -24,28 +26,28 @@
             total += rate;
         }
         Map<Settings.Category, Double> shares = new HashMap<>();
-        double left = share * total;
-        for (int i : byBenefit(categories)) {
-            double own = total <= 0 ? share : shareOf(left, rates[i]);
-            // Categories that are equal in every field are equal in benefit: the lesser share holds
-            // for both.
-            shares.merge(categories.get(i), own, Math::min);
-            left = Math.max(0, left - own * rates[i]);
+        double remaining = share * total;
+        for (int i : byPriorityWeight(categories)) {
+            double categoryShare = total <= 0 ? share : shareToShed(remaining, rates[i]);
+            // Categories that are equal in every field share one map key, which gets the smaller
+            // of their shares.
+            shares.merge(categories.get(i), categoryShare, Math::min);
+            remaining = Math.max(0, remaining - categoryShare * rates[i]);
         }
         return shares;
     }
 
-    private static List<Integer> byBenefit(List<Settings.Category> categories) {
+    private static List<Integer> byPriorityWeight(List<Settings.Category> categories) {
         return IntStream.range(0, categories.size())
                 .boxed()
                 .sorted(Comparator.comparingDouble(i -> categories.get(i).priorityWeight()))
                 .toList();
     }
 
-    private static double shareOf(double left, double rate) {
+    private static double shareToShed(double remaining, double rate) {
         if (rate <= 0) {
-            return left > 0 ? 1 : 0;
+            return remaining > 0 ? 1 : 0;
         }
-        return Math.min(1, left / rate);
+        return Math.min(1, remaining / rate);
     }
 }
--- a/src/main/java/cairnbridge/zones/routing/ZoneRouter.java
+++ b/src/main/java/cairnbridge/zones/routing/ZoneRouter.java
@@ -19,14 +19,20 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * Applies one zone's route. A key's zone is chosen by weighted rendezvous hashing (Schindelhauer
- * and Schomaker 2005): when shares change only those keys move that have to, and the same ones at
- * every proxy.
+ * Applies one zone's route to requests. The target zone of a key is chosen by weighted rendezvous
+ * hashing (Schindelhauer and Schomaker 2005): a change of the shares moves the minimal set of keys,
+ * and the same keys at every proxy.
  */
 public final class ZoneRouter implements Placement {
-    /** Counts what was routed since the start, over all routes. Any thread may read. */
+    /**
+     * Counts routing decisions since the start of the process, across all routes. Any thread may
+     * read.
+     */
     public static final class Counts {
-        /** Requests that stayed in their zone, left it, and were shed. */
+        /**
+         * Requests served in the home zone. {@code remote} counts those sent to other zones, {@code
+         * shed} the rejected ones.
+         */
         public final LongAdder local = new LongAdder();
 
         public final LongAdder remote = new LongAdder();
@@ -36,10 +42,11 @@
     /**
      * A zone's route as one proxy applies it.
      *
-     * @param home the zone
-     * @param route its route
-     * @param unreachable zones that this proxy cannot reach
-     * @param reroutedShare of the requests for such a zone, the share that goes elsewhere
+     * @param home the zone of the proxy
+     * @param route the route of that zone's traffic
+     * @param unreachable the zones that this proxy cannot reach
+     * @param reroutedShare the share of the requests for an unreachable zone that is sent to other
+     *     zones; the rest is shed
      */
     public record LocalRoute(
             Zone home, ZoneRoute route, Set<Zone> unreachable, double reroutedShare) {
@@ -53,7 +60,7 @@
     private static final long ZONE_SALT = 0x7A6F6E65L;
     private static final long REROUTE_SALT = 0x616C6F6EL;
 
-    /** The home zone's id; empty if the endpoint list does not have the zone. */
+    /** The home zone's id; empty if the endpoint list does not contain the zone. */
     private final Optional<ZoneId> home;
 
     private final List<Target> targets = new ArrayList<>();
@@ -62,12 +69,11 @@
     private final Map<Settings.Category, Double> shedByCategory;
     private final Counts counts;
 
-    /**
-     * A router for a route.
+    /* Creates a router for one route.
      *
-     * @param zoneNames the names of the zones, in the order of their numbers in the endpoint list
+     * @param zoneNames the names of the zones; the index of a name is the id of its zone
      * @param categories the classes of requests
-     * @param rates requests that came lately, by category
+     * @param rates the recent request rate of each category, in the order of the categories
      */
     public ZoneRouter(
             LocalRoute local,
@@ -99,17 +105,20 @@
         return index < 0 ? Optional.empty() : Optional.of(new ZoneId(index));
     }
 
-    /** The zones none of whose ready nodes a proxy reaches, by what it announces to its fleet. */
+    /**
+     * The zones of which a proxy cannot reach any ready node. The unreachable nodes and zones are
+     * those that the proxy announces to its fleet; zones are given by the hash of their name.
+     */
     public static Set<Zone> unreachableZones(
             List<ListedNode> nodes, List<Long> unreachableNodes, List<Long> unreachableZones) {
         Set<Zone> unreachable = new HashSet<>();
         Set<Zone> reachable = new HashSet<>();
         for (ListedNode node : nodes) {
             if (node.ready()) {
-                boolean missed =
+                boolean nodeUnreachable =
                         unreachableNodes.contains(node.id())
                                 || unreachableZones.contains(Fnv1a.hash(node.zone().name()));
-                (missed ? unreachable : reachable).add(node.zone());
+                (nodeUnreachable ? unreachable : reachable).add(node.zone());
             }
         }
         unreachable.removeAll(reachable);
@@ -118,7 +127,7 @@
 
     @Override
     public ZoneId zone(long point, Settings.Category category) {
-        ZoneId zone = choose(point, category);
+        ZoneId zone = chooseZone(point, category);
         if (NOWHERE.equals(zone)) {
             counts.shed.increment();
         } else if (home.filter(zone::equals).isPresent()) {
@@ -129,39 +138,43 @@
         return zone;
     }
 
-    private ZoneId choose(long point, Settings.Category category) {
+    private ZoneId chooseZone(long point, Settings.Category category) {
         double shedShare = shedByCategory.getOrDefault(category, shed);
-        if (shedShare > 0 && unit(point ^ ZONE_SALT) < shedShare) {
+        if (shedShare > 0 && toUnitInterval(point ^ ZONE_SALT) < shedShare) {
             return NOWHERE;
         }
-        // Guards against a client's retry that goes where nobody has the mark of the first attempt.
+        // Guards against a client's retry in another zone, whose nodes have no deduplication record
+        // of the first attempt.
         boolean boundToHome =
                 category.effect() == Effect.DEDUPLICATED
                         && category.deduplicationScope() != DeduplicationScope.ALL_NODES;
         if (boundToHome) {
             return home.orElse(NOWHERE);
         }
-        Optional<Target> best = best(point, false);
+        Optional<Target> best = bestTarget(point, false);
         if (best.isEmpty()) {
             return NOWHERE;
         }
         return best.get().unreachable() ? reroute(point) : best.get().zone();
     }
 
-    /** The plan has not followed yet: a share goes elsewhere, the rest is shed. */
+    /**
+     * Handles a request for a zone that is unreachable from here while the plan still sends traffic
+     * to it: a share goes to other targets, the rest is shed.
+     */
     private ZoneId reroute(long point) {
-        if (unit(point ^ REROUTE_SALT) >= reroutedShare) {
+        if (toUnitInterval(point ^ REROUTE_SALT) >= reroutedShare) {
             return NOWHERE;
         }
-        return best(point, true).map(Target::zone).orElse(NOWHERE);
+        return bestTarget(point, true).map(Target::zone).orElse(NOWHERE);
     }
 
-    private Optional<Target> best(long point, boolean reachableOnly) {
+    private Optional<Target> bestTarget(long point, boolean reachableOnly) {
         Target best = null;
         double highest = Double.NEGATIVE_INFINITY;
         for (Target target : targets) {
             if (!reachableOnly || !target.unreachable()) {
-                double score = Math.log(unit(point ^ target.salt())) / target.weight();
+                double score = Math.log(toUnitInterval(point ^ target.salt())) / target.weight();
                 if (score > highest) {
                     highest = score;
                     best = target;
@@ -171,8 +184,8 @@
         return Optional.ofNullable(best);
     }
 
-    /** A hash as a number over 0 and under 1. */
-    private static double unit(long value) {
+    /** Hashes a value to a number greater than 0 and less than 1. */
+    private static double toUnitInterval(long value) {
         return (SplitMix64.mix(value) >>> 11) * 0x1.0p-53 + 0x1.0p-54;
     }
 }
