--- a/src/main/java/cairnbridge/zones/DrainRequests.java
+++ b/src/main/java/cairnbridge/zones/DrainRequests.java
@@ -6,9 +6,12 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** What operators want of zones, until a plan has it. Times are Unix time in milliseconds. */
+/**
+ * Drain and restore commands of operators that no agreed plan contains yet. Times are Unix time in
+ * milliseconds.
+ */
 final class DrainRequests {
-    /** Until when a zone is drained at least; empty to restore it. */
+    /** The earliest time at which each zone may be restored; empty for a request to restore it. */
     private final Map<Zone, Optional<Long>> requests = new HashMap<>();
 
     boolean isEmpty() {
@@ -23,21 +26,27 @@
         requests.put(zone, Optional.empty());
     }
 
-    /** The drained zones of a plan with what operators want. */
+    /**
+     * Returns a plan's drained zones with the pending requests applied. A zone whose drain time has
+     * not passed is not restored.
+     */
     Map<Zone, Long> applyTo(Map<Zone, Long> drained, long nowMillis) {
-        Map<Zone, Long> wanted = new HashMap<>(drained);
+        Map<Zone, Long> result = new HashMap<>(drained);
         requests.forEach(
                 (zone, untilMillis) -> {
                     if (untilMillis.isPresent()) {
-                        wanted.put(zone, untilMillis.get());
-                    } else if (wanted.getOrDefault(zone, 0L) <= nowMillis) {
-                        wanted.remove(zone);
+                        result.put(zone, untilMillis.get());
+                    } else if (result.getOrDefault(zone, 0L) <= nowMillis) {
+                        result.remove(zone);
                     }
                 });
-        return wanted;
+        return result;
     }
 
-    /** A plan was agreed on: what it has is wanted no more. */
+    /**
+     * Removes the requests that an agreed plan has settled: drains that it contains, and all
+     * restores.
+     */
     void planAgreed(Plan plan) {
         requests.entrySet()
                 .removeIf(
--- a/src/main/java/cairnbridge/zones/PlanAcceptor.java
+++ b/src/main/java/cairnbridge/zones/PlanAcceptor.java
@@ -9,8 +9,9 @@
 import java.util.function.Consumer;
 
 /**
- * A voter's part: answers a message only once what it has promised is on the disk. It does not wait
- * for the disk itself: guards against a member that looks dead while its disk takes its time.
+ * The acceptor of one voter. Answers a message only after the resulting state is persisted. The
+ * write runs on another thread: guards against a member that is suspected dead because its gossip
+ * thread waits for a slow disk.
  */
 final class PlanAcceptor {
     private static final byte[] NO_ANSWER = {};
@@ -20,9 +21,10 @@
     private AcceptorState state;
 
     /**
-     * Messages wait for the state that is being persisted: no answer depends on one that is not.
+     * Messages that arrived during a write. They are handled after it, so that no answer depends on
+     * a state that is not persisted.
      */
-    private final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> pendingMessages = new ArrayDeque<>();
 
     private boolean persisting;
 
@@ -32,28 +34,31 @@
         state = persisted;
     }
 
-    /** The highest ballot that was promised here. */
+    /** The highest ballot that this acceptor has promised. */
     Ballot promised() {
         return state.promised();
     }
 
-    /** Handles a message; the answer is empty if there is none to give. */
+    /**
+     * Handles a message. The answer is empty if this member is no voter, if the message cannot be
+     * decoded, or if the state cannot be persisted.
+     */
     void handle(byte[] message, Consumer<byte[]> answer) {
         if (!isVoter) {
             answer.accept(NO_ANSWER);
         } else if (persisting) {
-            waiting.add(() -> handle(message, answer));
+            pendingMessages.add(() -> handle(message, answer));
         } else {
-            decide(message, answer);
+            handleNow(message, answer);
         }
     }
 
-    private void decide(byte[] message, Consumer<byte[]> answer) {
+    private void handleNow(byte[] message, Consumer<byte[]> answer) {
         AcceptorState.Transition transition;
         try {
             transition = state.handle(ConsensusCodec.decodeMessage(message));
         } catch (IllegalArgumentException e) {
-            answer.accept(NO_ANSWER); // A proposer of another version.
+            answer.accept(NO_ANSWER); // The proposer may run another version.
             return;
         }
         if (transition.next().isEmpty()) {
@@ -62,10 +67,10 @@
         }
         AcceptorState next = transition.next().get();
         persisting = true;
-        host.persist(next, fault -> persisted(next, transition.answer(), fault, answer));
+        host.persist(next, fault -> statePersisted(next, transition.answer(), fault, answer));
     }
 
-    private void persisted(
+    private void statePersisted(
             AcceptorState next,
             ConsensusMessage message,
             Optional<String> fault,
@@ -78,8 +83,8 @@
             host.log("zones: a vote cannot be persisted, and is not given: " + fault.get());
             answer.accept(NO_ANSWER);
         }
-        while (!persisting && !waiting.isEmpty()) {
-            waiting.poll().run();
+        while (!persisting && !pendingMessages.isEmpty()) {
+            pendingMessages.poll().run();
         }
     }
 }
--- a/src/main/java/cairnbridge/zones/PlanProposer.java
+++ b/src/main/java/cairnbridge/zones/PlanProposer.java
@@ -13,15 +13,18 @@
 import java.util.function.UnaryOperator;
 import java.util.random.RandomGenerator;
 
-/** The proposer's part: has the next plan agreed on by a majority of the voters. */
+/** Proposes the next plan to the voters until a majority of them accepts it. */
 final class PlanProposer {
-    /** A proposal is given up after this time; another one begins after a random part of it. */
+    /**
+     * A proposal is abandoned after this time; the next one starts after a random delay of at most
+     * the same time.
+     */
     private static final long PROPOSAL_TIMEOUT = 2 * Ticks.SECOND;
 
-    private static final long MIN_REJECTED_DELAY = Ticks.SECOND / 10;
-    private static final long MAX_REJECTED_JITTER = Ticks.SECOND;
+    private static final long MIN_REJECTION_DELAY = Ticks.SECOND / 10;
+    private static final long MAX_REJECTION_JITTER = Ticks.SECOND;
 
-    /** Makes the next plan out of one; gives that one itself if nothing is to be changed. */
+    /** Computes the next plan from the newest one; returns the same plan if nothing changes. */
     private final UnaryOperator<Plan> nextPlan;
 
     private final MemberId self;
@@ -29,21 +32,22 @@
     private final PlanAcceptor acceptor;
     private final ZonePlanHost host;
     private final RandomGenerator random;
-    private final Consumer<Plan> agreed;
+    private final Consumer<Plan> onAgreed;
     private Optional<Proposal> proposal = Optional.empty();
     private Ballot lastBallot = Ballot.NONE;
     private long now;
     private long proposedAt;
-    private long notBefore;
+    private long earliestProposalAt;
     private long epochFloor;
-    private boolean uncertain;
+    private boolean reproposalNeeded;
 
     /**
-     * A proposer that is not active yet.
+     * Creates an inactive proposer.
      *
-     * @param acceptor this member's own part as a voter
-     * @param nextPlan makes the next plan out of one
-     * @param agreed is given each plan that was agreed on
+     * @param acceptor the acceptor of this member, called directly if it is a voter
+     * @param nextPlan computes the next plan from the newest one; returns the same plan if nothing
+     *     changes
+     * @param agreed receives each plan that a majority has accepted
      */
     PlanProposer(
             MemberId self,
@@ -59,39 +63,42 @@
         this.host = host;
         this.random = random;
         this.nextPlan = nextPlan;
-        this.agreed = agreed;
+        this.onAgreed = agreed;
     }
 
-    /** This member proposes from now on. The one before may have had a plan accepted unnoticed. */
+    /**
+     * Called when this member becomes the proposer. Its predecessor may have had a plan accepted
+     * without announcing it, so the newest accepted plan has to be proposed again.
+     */
     void activate() {
-        uncertain = true;
+        reproposalNeeded = true;
     }
 
-    /** No plan of a lower epoch is proposed. */
+    /** Proposes no plan with a lower epoch from now on. */
     void raiseEpochFloor(long floor) {
         epochFloor = floor;
     }
 
-    /** Whether a plan has to be proposed though none is wanted. */
-    boolean isUncertain() {
-        return uncertain;
+    /** Whether the newest accepted plan has to be proposed again even if nothing changes. */
+    boolean needsReproposal() {
+        return reproposalNeeded;
     }
 
-    /** Moves the clock on, and gives up a proposal that takes too long. */
+    /** Advances the clock, and abandons a proposal that has reached its timeout. */
     void advanceTo(long newNow) {
         now = newNow;
         if (proposal.isPresent() && now - proposedAt > PROPOSAL_TIMEOUT) {
             proposal = Optional.empty();
-            notBefore = now + random.nextLong(PROPOSAL_TIMEOUT);
+            earliestProposalAt = now + random.nextLong(PROPOSAL_TIMEOUT);
         }
     }
 
-    /** Whether a proposal may begin. */
+    /** Whether no proposal is running and the delay since the last failed one is over. */
     boolean isIdle() {
-        return proposal.isEmpty() && now >= notBefore;
+        return proposal.isEmpty() && now >= earliestProposalAt;
     }
 
-    /** Begins a proposal. */
+    /** Starts a proposal with a ballot higher than any that this member has seen. */
     void propose() {
         lastBallot = lastBallot.superseding(acceptor.promised(), self.name());
         proposal = Optional.of(Proposal.begin(lastBallot, voters.size()));
@@ -103,18 +110,18 @@
         byte[] encoded = ConsensusCodec.encode(message);
         for (MemberId voter : voters) {
             if (voter.equals(self)) {
-                acceptor.handle(encoded, answer -> answered(voter, Optional.of(answer)));
+                acceptor.handle(encoded, answer -> answerReceived(voter, Optional.of(answer)));
             } else {
                 host.call(
                         voter,
                         ZonePlanCoordinator.CONSENSUS_TOPIC,
                         encoded,
-                        answer -> answered(voter, answer));
+                        answer -> answerReceived(voter, answer));
             }
         }
     }
 
-    private void answered(MemberId voter, Optional<byte[]> answer) {
+    private void answerReceived(MemberId voter, Optional<byte[]> answer) {
         if (proposal.isEmpty() || answer.isEmpty() || answer.get().length == 0) {
             return;
         }
@@ -122,33 +129,33 @@
         try {
             message = ConsensusCodec.decodeMessage(answer.get());
         } catch (IllegalArgumentException e) {
-            return; // A voter of another version; it counts as silent.
+            return; // A voter of another version counts as one that did not answer.
         }
         Proposal next = proposal.get().withAnswer(voter.name(), message);
         proposal = Optional.of(next);
         if (next.rejected()) {
-            rejected(next);
+            proposalRejected(next);
         } else if (next.isPromised()) {
-            promised(next);
+            majorityPromised(next);
         } else if (next.isAgreed()) {
             proposal = Optional.empty();
-            uncertain = false;
-            agreed.accept(next.proposed().orElseThrow());
+            reproposalNeeded = false;
+            onAgreed.accept(next.proposed().orElseThrow());
         }
     }
 
-    private void rejected(Proposal rejected) {
+    private void proposalRejected(Proposal rejected) {
         lastBallot = lastBallot.superseding(rejected.highestBallot(), self.name());
         proposal = Optional.empty();
-        notBefore = now + MIN_REJECTED_DELAY + random.nextLong(MAX_REJECTED_JITTER);
+        earliestProposalAt = now + MIN_REJECTION_DELAY + random.nextLong(MAX_REJECTION_JITTER);
     }
 
     /**
-     * A majority has promised. If nothing is to be changed the newest plan is proposed once more,
-     * as it may not be known to be agreed on.
+     * Proposes the next plan after a majority has promised. If nothing changes, the newest plan is
+     * proposed again, because this member cannot tell whether a majority has accepted it.
      */
-    private void promised(Proposal promised) {
-        // Guards against voters that lost their state and begin to count anew.
+    private void majorityPromised(Proposal promised) {
+        // Guards against epochs that restart from 0 after voters have lost their state.
         Plan newest = promised.newestAccepted().withEpochAbove(epochFloor);
         Plan next = nextPlan.apply(newest);
         proposal = Optional.of(promised.withPlan(next));
--- a/src/main/java/cairnbridge/zones/ZoneElection.java
+++ b/src/main/java/cairnbridge/zones/ZoneElection.java
@@ -6,7 +6,9 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Which voter proposes plans: the first by name of those that are live and have started. */
+/**
+ * Elects the proposer of plans: the first voter by name that is live and has finished its start.
+ */
 final class ZoneElection {
     private final List<MemberId> voters;
 
@@ -14,7 +16,7 @@
         this.voters = voters;
     }
 
-    /** The proposer; empty if there is no candidate. */
+    /** The proposer; empty if no voter is live and started. */
     Optional<MemberId> proposer(MembershipView view) {
         return voters.stream()
                 .filter(voter -> isLive(view, voter) && hasStarted(view, voter))
@@ -22,7 +24,7 @@
                 .findFirst();
     }
 
-    /** Whether most voters are live. */
+    /** Whether a majority of the voters is live. */
     boolean hasMajority(MembershipView view) {
         long live = voters.stream().filter(voter -> isLive(view, voter)).count();
         return 2 * live > voters.size();
@@ -32,7 +34,7 @@
         return view.stateOf(id).filter(state -> state.status().isLive()).isPresent();
     }
 
-    /** One that still starts knows too little to propose. */
+    /** A member that is still starting has not received enough announcements to plan with. */
     private static boolean hasStarted(MembershipView view, MemberId id) {
         return view.stateOf(id)
                 .flatMap(state -> state.knownMetadata())
--- a/src/main/java/cairnbridge/zones/ZoneMember.java
+++ b/src/main/java/cairnbridge/zones/ZoneMember.java
@@ -28,56 +28,57 @@
 import java.util.random.RandomGeneratorFactory;
 
 /**
- * Connects {@link Zones}, which decides, with the transport, the disk and the proxy of one member.
- * Runs on the transport's thread; methods that any thread may call say so.
+ * Connects the {@link ZonePlanCoordinator} of one member with its transport, disk and proxy.
+ * Methods must be called on the transport's thread unless their comment allows any thread.
  */
 public final class ZoneMember {
-    private static final String VOTER_THREAD = "votes";
-    private static final long ROUTE_INTERVAL = Ticks.SECOND;
+    private static final String DISK_THREAD_NAME = "votes";
+    private static final long ROUTE_UPDATE_INTERVAL = Ticks.SECOND;
     private static final String COMMAND_PREFIX = "zone-";
 
     private final Zone home;
     private final ZoneSettings config;
     private final ZoneProxy proxy;
     private final Consumer<String> log;
-    private final ZonePlanCoordinator zones;
+    private final ZonePlanCoordinator coordinator;
     private final Optional<AcceptorStateFile> acceptorFile;
     private final EpochStore epochStore;
 
-    /** Waits for the disk in place of the transport's thread. */
+    /** Performs blocking disk writes, so that the transport's thread does not wait for the disk. */
     private final ExecutorService diskExecutor =
             Executors.newSingleThreadExecutor(
                     task -> {
-                        Thread thread = new Thread(task, VOTER_THREAD);
+                        Thread thread = new Thread(task, DISK_THREAD_NAME);
                         thread.setDaemon(true);
                         return thread;
                     });
 
     private GossipTransport transport;
     private MembershipView view;
-    private long routedAt;
+    private long routeUpdatedAt;
     private volatile long planEpoch;
     private volatile Plan plan = Plan.EMPTY;
 
     /**
-     * Which member this is.
+     * The name and the zone of this member.
      *
-     * @param zone its zone
+     * @param zone the name of the zone that the member runs in
      */
     public record Identity(MemberId id, String zone) {}
 
     /**
-     * Persists epochs of plans.
+     * Persists the epochs of plans, so that they never decrease after a power loss.
      *
-     * @param floor the highest epoch that was persisted
-     * @param persist persists an epoch before it is announced; the result is false if that fails
+     * @param floor the highest epoch that was persisted before this start
+     * @param persist persists an epoch before it is announced; the result is false if the write
+     *     fails
      */
     public record EpochStore(long floor, LongFunction<CompletableFuture<Boolean>> persist) {}
 
     /**
-     * A member whose transport is still to be set.
+     * Creates a member without a transport, which {@link #useTransport} sets.
      *
-     * @throws IOException if the persisted state of a voter cannot be read
+     * @throws IOException if this member is a voter and its persisted state cannot be read
      */
     public ZoneMember(
             Identity identity,
@@ -98,7 +99,7 @@
                         : Optional.empty();
         AcceptorState persisted =
                 acceptorFile.isPresent() ? acceptorFile.get().read() : AcceptorState.EMPTY;
-        zones =
+        coordinator =
                 new ZonePlanCoordinator(
                         identity.id(),
                         config,
@@ -119,12 +120,15 @@
                 new FileStorageDirectory(file.getParent()), file.getFileName().toString());
     }
 
-    /** Sets the transport, before its thread starts. */
+    /** Sets the transport. Must be called before the transport's thread starts. */
     public void useTransport(GossipTransport newTransport) {
         transport = newTransport;
     }
 
-    /** The epoch of the plan that is in force here. Any thread may call this. */
+    /**
+     * The highest epoch in force here that is persisted and may be announced. Any thread may call
+     * this.
+     */
     public long planEpoch() {
         return planEpoch;
     }
@@ -134,20 +138,23 @@
         return PlanCodec.encode(plan);
     }
 
-    /** The view was published. */
+    /**
+     * Passes a new membership view to the coordinator and updates the proxy's route at most once a
+     * second.
+     */
     public void viewPublished(MembershipView newView, long now) {
         view = newView;
-        zones.viewPublished(newView, now, System.currentTimeMillis());
-        // What this proxy reaches, and which of its requests matter most, changes between plans.
-        if (now - routedAt >= ROUTE_INTERVAL) {
-            routedAt = now;
-            route(zones.plan());
+        coordinator.viewPublished(newView, now, System.currentTimeMillis());
+        // The zones that this proxy reaches and its request rates change between plans.
+        if (now - routeUpdatedAt >= ROUTE_UPDATE_INTERVAL) {
+            routeUpdatedAt = now;
+            updateRoute(coordinator.plan());
         }
     }
 
-    /** Another member has sent a message; the answer is passed on the transport's thread. */
+    /** Handles a message of another member; the answer is passed on the transport's thread. */
     public void messageReceived(String topic, byte[] payload, Consumer<byte[]> answer) {
-        zones.messageReceived(topic, payload, answer);
+        coordinator.messageReceived(topic, payload, answer);
     }
 
     /**
@@ -156,18 +163,18 @@
      */
     public CompletableFuture<String> execute(String command) {
         CompletableFuture<String> answer = new CompletableFuture<>();
-        transport.execute(() -> answer.complete(answer(command)));
+        transport.execute(() -> answer.complete(executeNow(command)));
         return answer;
     }
 
-    private String answer(String command) {
+    private String executeNow(String command) {
         if (command.split(" +", 2)[0].equals("zones")) {
-            return zones.status() + "EOF";
+            return coordinator.status() + "EOF";
         }
-        return zones.execute(command.substring(COMMAND_PREFIX.length()));
+        return coordinator.execute(command.substring(COMMAND_PREFIX.length()));
     }
 
-    private void route(Plan current) {
+    private void updateRoute(Plan current) {
         MemberMetrics.Reachability reachability = proxy.reachability();
         Set<Zone> unreachable =
                 ZoneRouter.unreachableZones(
@@ -179,7 +186,7 @@
                         home, current.routeOf(home), unreachable, config.reroutedShare()));
     }
 
-    /** What {@link Zones} asks for. */
+    /** Gives the coordinator access to the transport, the disk and the proxy. */
     private final class Host implements ZonePlanHost {
         @Override
         public void call(
@@ -201,7 +208,7 @@
                     });
         }
 
-        /** Why it could not be written. */
+        /** Writes the state; returns the error, or empty on success. */
         private Optional<String> write(AcceptorState state) {
             try {
                 acceptorFile.orElseThrow().write(state);
@@ -219,8 +226,8 @@
         @Override
         public void planChanged(Plan newPlan) {
             plan = newPlan;
-            // Announced only once it is persisted: guards against a member that comes back behind
-            // what it confirmed.
+            // The epoch is announced only once it is persisted: guards against a member that
+            // restarts with a lower epoch than it has confirmed.
             CompletableFuture<Void> unused =
                     epochStore
                             .persist()
@@ -231,7 +238,7 @@
                                             planEpoch = Math.max(planEpoch, newPlan.epoch());
                                         }
                                     });
-            route(newPlan);
+            updateRoute(newPlan);
         }
 
         @Override
--- a/src/main/java/cairnbridge/zones/ZonePlanCoordinator.java
+++ b/src/main/java/cairnbridge/zones/ZonePlanCoordinator.java
@@ -21,25 +21,26 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One member's part in zone plans: it always learns plans, and is a voter or the proposer where it
- * is one. Call {@link #viewPublished} some times a second and {@link #messageReceived} for messages
- * of other members; it acts by calls on its host.
+ * Takes part in the zone plans of a fleet for one member. Every member receives and applies agreed
+ * plans; voters also accept proposals, and one voter at a time is the proposer. The caller invokes
+ * {@link #viewPublished} several times a second and {@link #messageReceived} for messages of other
+ * members; all effects go through the {@link ZonePlanHost}.
  */
 public final class ZonePlanCoordinator {
-    // Topics of messages between members; they are part of the protocol.
+    // Topics of messages between members; they are part of the wire protocol.
     static final String CONSENSUS_TOPIC = "zones-vote";
     private static final String PLAN_TOPIC = "zones-plan";
     private static final String COMMAND_TOPIC = "zones-staff";
 
     private static final byte[] NO_ANSWER = {};
 
-    /** A plan of another member is requested at most this often. */
+    /** The minimum time between two requests for another member's plan. */
     private static final long PULL_INTERVAL = Ticks.SECOND / 5;
 
-    /** An agreed plan is sent to this many members; the others request it. */
+    /** The proposer sends an agreed plan to at most this many members; the others request it. */
     private static final int MAX_PUSHES = 64;
 
-    /** For this long after its start a member plans nothing. */
+    /** A member makes no plans for this long after its start, while it has few announcements. */
     private static final long START_DELAY = 5 * Ticks.SECOND;
 
     private final MemberId self;
@@ -59,18 +60,18 @@
     private long unixMillis;
 
     /**
-     * No plan of a lower epoch comes into force: others may have had it before they lost their
-     * power.
+     * No plan with a lower epoch comes into force: other members may have confirmed this epoch
+     * before a power loss.
      */
     private long epochFloor;
 
     private boolean proposing;
 
     /**
-     * A coordinator that has no plan yet.
+     * Creates a coordinator with the empty plan.
      *
-     * @param epochFloor the highest epoch that was persisted
-     * @param persisted what this member has promised as a voter; of no use at others
+     * @param epochFloor the highest epoch that was persisted before this start
+     * @param persisted the persisted acceptor state of a voter; ignored at other members
      */
     public ZonePlanCoordinator(
             MemberId self,
@@ -104,9 +105,10 @@
     }
 
     /**
-     * The view has changed, or some time has passed.
+     * Handles a new membership view or the passing of time: requests a newer plan, updates this
+     * member's role, and starts a proposal if one is due.
      *
-     * @param newUnixMillis the time by the machine's clock
+     * @param newUnixMillis the wall-clock time, Unix time in milliseconds
      */
     public void viewPublished(MembershipView newView, long newNow, long newUnixMillis) {
         view = Optional.of(newView);
@@ -114,20 +116,20 @@
         now = newNow;
         unixMillis = newUnixMillis;
         if (!settings.consensus()) {
-            planAlone();
+            planWithoutConsensus();
             return;
         }
         raiseEpochFloor(newView);
         pullPlan(newView);
         updateRole(newView);
         proposer.advanceTo(now);
-        boolean wanted =
+        boolean proposalDue =
                 proposing
                         && proposer.isIdle()
-                        && (proposer.isUncertain()
+                        && (proposer.needsReproposal()
                                 || !drainRequests.isEmpty()
                                 || !nextPlan(plan).equals(plan));
-        if (wanted) {
+        if (proposalDue) {
             proposer.propose();
         }
     }
@@ -148,13 +150,16 @@
         if (isProposer && !proposing) {
             planner = Optional.of(new Planner(settings.planner(), now));
             proposer.activate();
-            host.log("zones: this member proposes from now on");
+            host.log("zones: this member is now the proposer");
         }
         proposing = isProposer;
     }
 
-    /** The baseline: the same planner on the same gossip, without agreement. */
-    private void planAlone() {
+    /**
+     * Plans without consensus, as a baseline for comparison: each member applies the plan that it
+     * computes itself from gossip.
+     */
+    private void planWithoutConsensus() {
         if (planner.isEmpty()) {
             planner = Optional.of(new Planner(settings.planner(), now));
         }
@@ -165,11 +170,11 @@
         }
     }
 
-    /** The plan that should follow one; that one itself if nothing is to be changed. */
+    /** Computes the plan that follows a given one; returns the given plan if nothing changes. */
     private Plan nextPlan(Plan from) {
         List<ListedNode> servers = host.servers();
-        // Guards against zones held unreachable by a member that has just started, without a list
-        // or after calls that were late.
+        // Guards against a member that has just started and takes zones for unreachable, because it
+        // has no endpoint list yet, or because its first calls were late.
         if (servers.isEmpty() || now - startedAt < START_DELAY) {
             return from;
         }
@@ -197,18 +202,25 @@
                 .forEach(member -> host.call(member.id(), PLAN_TOPIC, encoded, answer -> {}));
     }
 
-    /** Puts a plan into force unless it is older than the present one. */
+    /**
+     * Puts a plan into force unless its epoch is lower than the floor or not higher than the
+     * current one.
+     */
     private void apply(Plan next) {
         if (next.epoch() <= plan.epoch() || next.epoch() < epochFloor) {
             return;
         }
         String prefix = "zones: epoch " + next.epoch() + " by " + next.proposer() + ": ";
-        ZoneStatusFormatter.changes(plan, next).forEach(change -> host.log(prefix + change));
+        ZoneStatusFormatter.describeChanges(plan, next)
+                .forEach(change -> host.log(prefix + change));
         plan = next;
         host.planChanged(plan);
     }
 
-    /** Requests the plan of the member that announces the latest epoch. */
+    /**
+     * Requests the plan of the member that announces the highest epoch, if it exceeds the local
+     * one.
+     */
     private void pullPlan(MembershipView current) {
         Optional<MemberState> latest =
                 current.liveMembers().stream()
@@ -239,7 +251,10 @@
         }
     }
 
-    /** Handles a message of another member, which is answered at once or once it is persisted. */
+    /**
+     * Handles a message of another member. A consensus message is answered after the acceptor state
+     * is persisted, any other message immediately.
+     */
     public void messageReceived(String topic, byte[] payload, Consumer<byte[]> answer) {
         switch (topic) {
             case CONSENSUS_TOPIC -> acceptor.handle(payload, answer);
@@ -255,9 +270,9 @@
         }
     }
 
-    // What operators ask.
+    // Commands of operators.
 
-    /** The plan, who has not confirmed it, and the status of each zone. */
+    /** Formats the plan, the members that have not confirmed it, and the status of each zone. */
     String status() {
         if (view.isEmpty()) {
             return "not in a fleet yet\n";
@@ -270,50 +285,50 @@
         boolean majority = !settings.consensus() || election.hasMajority(current);
         List<ZoneStatus> statuses =
                 health.evaluate(current.liveMembers(), host.servers(), now, unixMillis);
-        return ZoneStatusFormatter.table(plan, current, proposerName, majority)
-                + ZoneStatusFormatter.statuses(statuses);
+        return ZoneStatusFormatter.formatPlan(plan, current, proposerName, majority)
+                + ZoneStatusFormatter.formatStatuses(statuses);
     }
 
     /**
-     * Runs {@code drain ZONE SECONDS} or {@code restore ZONE}, or hands it to the proposer. The
-     * answer begins with 200 or 400.
+     * Runs {@code drain ZONE SECONDS} or {@code restore ZONE}, or forwards the command if another
+     * member is the proposer. The answer begins with 200 or 400.
      */
     public String execute(String command) {
-        String[] words = command.split(" +");
-        Zone zone = new Zone(words.length > 1 ? words[1] : "");
+        String[] tokens = command.split(" +");
+        Zone zone = new Zone(tokens.length > 1 ? tokens[1] : "");
         if (host.servers().stream().noneMatch(server -> server.zone().equals(zone))) {
             return "400 no such zone";
         }
         if (settings.consensus()) {
-            Optional<MemberId> responsible =
+            Optional<MemberId> currentProposer =
                     view.filter(election::hasMajority).flatMap(election::proposer);
-            if (responsible.isEmpty()) {
+            if (currentProposer.isEmpty()) {
                 return "400 no majority of voters in view";
             }
-            if (!responsible.get().equals(self)) {
-                return handOver(command, responsible.get());
+            if (!currentProposer.get().equals(self)) {
+                return forwardToProposer(command, currentProposer.get());
             }
         }
-        return request(zone, words);
+        return recordRequest(zone, tokens);
     }
 
-    private String handOver(String command, MemberId responsible) {
+    private String forwardToProposer(String command, MemberId currentProposer) {
         byte[] payload = command.getBytes(StandardCharsets.UTF_8);
-        host.call(responsible, COMMAND_TOPIC, payload, answer -> {});
-        return "200 handed to " + responsible + ", zones shows when it is in force";
+        host.call(currentProposer, COMMAND_TOPIC, payload, answer -> {});
+        return "200 handed to " + currentProposer + ", zones shows when it is in force";
     }
 
-    private String request(Zone zone, String[] words) {
-        boolean drain = words[0].equals("drain");
+    private String recordRequest(Zone zone, String[] tokens) {
+        boolean drain = tokens[0].equals("drain");
         long millisLeft = plan.drained().getOrDefault(zone, 0L) - unixMillis;
-        if (words[0].equals("restore") && millisLeft > 0) {
+        if (tokens[0].equals("restore") && millisLeft > 0) {
             return "400 drained for "
                     + TimeUnit.MILLISECONDS.toSeconds(millisLeft)
                     + " s more at least";
         }
         long seconds;
         try {
-            seconds = words.length > 2 ? Long.parseLong(words[2]) : 0;
+            seconds = tokens.length > 2 ? Long.parseLong(tokens[2]) : 0;
         } catch (NumberFormatException e) {
             return "400 no number of seconds";
         }
--- a/src/main/java/cairnbridge/zones/ZonePlanHost.java
+++ b/src/main/java/cairnbridge/zones/ZonePlanHost.java
@@ -8,22 +8,27 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** What decisions on zones ask of their member; all on one thread, and nothing blocks. */
+/**
+ * The effects that {@link ZonePlanCoordinator} needs from its member. All calls and callbacks run
+ * on one thread; no method blocks.
+ */
 public interface ZonePlanHost {
-    /** Sends a message to a member; the callback gets its answer, empty if there is none. */
+    /**
+     * Sends a message to a member; the callback receives the answer, or empty if the call fails.
+     */
     void call(MemberId to, String topic, byte[] payload, Consumer<Optional<byte[]>> callback);
 
     /**
-     * Persists a voter's state where it survives a power loss.
+     * Persists a voter's state so that it survives a power loss.
      *
-     * @param callback is given why that failed, or empty once it is sure
+     * @param callback receives the error, or empty once the state is on disk
      */
     void persist(AcceptorState state, Consumer<Optional<String>> callback);
 
     /** The cache nodes of the endpoint list. */
     List<ListedNode> servers();
 
-    /** Another plan is in force here from now on. */
+    /** Called when a new plan comes into force at this member. */
     void planChanged(Plan plan);
 
     /** Logs a message for operators. */
--- a/src/main/java/cairnbridge/zones/ZoneProxy.java
+++ b/src/main/java/cairnbridge/zones/ZoneProxy.java
@@ -5,20 +5,22 @@
 import cairnbridge.zones.routing.ZoneRouter;
 import java.util.List;
 
-/** What zone plans ask of the proxy; every method returns at once. */
+/** The proxy as {@link ZoneMember} uses it. No method blocks. */
 public interface ZoneProxy {
     /** The cache nodes of the endpoint list. */
     List<ListedNode> servers();
 
-    /** Which nodes and zones the proxy reaches. */
+    /**
+     * The nodes and zones that the proxy cannot reach, with the outcomes of its attempts by zone.
+     */
     MemberMetrics.Reachability reachability();
 
-    /** The part of its rate that a node bears at its start. */
+    /** The fraction of its full request rate that a node is given right after its start. */
     double slowStartFactor();
 
-    /** How long a node warms up, in ticks. */
+    /** The time until a started node is given its full request rate, in ticks. */
     long slowStartDuration();
 
-    /** Requests of this proxy's zone go another way from now on. */
+    /** Applies a new route for the requests of this proxy's zone. */
     void routeChanged(ZoneRouter.LocalRoute route);
 }
--- a/src/main/java/cairnbridge/zones/ZoneSettings.java
+++ b/src/main/java/cairnbridge/zones/ZoneSettings.java
@@ -7,17 +7,18 @@
 import java.util.Map;
 
 /**
- * The table {@code zones} of a fleet's file.
+ * The settings in the table {@code zones} of the fleet file.
  *
- * @param consensus whether voters agree on plans; if not, each member plans by itself from the same
- *     gossip, for comparison
- * @param voters the members that agree on plans, the same list everywhere
- * @param stateFile where a voter persists what it has promised
- * @param nodeRequestsPerSecond what a warm node of size one can serve
+ * @param consensus whether voters agree on plans; if false, each member applies the plans that it
+ *     computes itself from gossip, as a baseline for comparison
+ * @param voters the members that vote on plans; must be the same list at every member
+ * @param stateFile the file in which a voter persists its acceptor state
+ * @param nodeRequestsPerSecond the requests a second that a node of size one serves after its slow
+ *     start
  * @param regions region by zone
- * @param planner how plans are made
- * @param reroutedShare of the requests for a zone that this proxy cannot reach, the part that goes
- *     elsewhere before the plan follows
+ * @param planner the limits for the steps of plans
+ * @param reroutedShare the share of the requests for a zone unreachable from this proxy that is
+ *     rerouted to other zones until a plan moves them; the rest is shed
  */
 public record ZoneSettings(
         boolean consensus,
@@ -27,7 +28,7 @@
         Map<String, String> regions,
         PlannerSettings planner,
         double reroutedShare) {
-    /** Whether a member agrees on plans. */
+    /** Whether a member votes on plans. */
     public boolean isVoter(MemberId member) {
         return consensus && voters.contains(member);
     }
--- a/src/main/java/cairnbridge/zones/ZoneStatusFormatter.java
+++ b/src/main/java/cairnbridge/zones/ZoneStatusFormatter.java
@@ -12,12 +12,18 @@
 import java.util.Locale;
 import java.util.stream.Collectors;
 
-/** Formats plans for operators. The form of the answers to admin calls is an interface. */
+/**
+ * Formats plans for operators. Tools parse the answers to admin calls, so their format must stay
+ * stable.
+ */
 final class ZoneStatusFormatter {
     private ZoneStatusFormatter() {}
 
-    /** A route in a few words: where the traffic goes, in thousandths, and why. */
-    private static String format(Zone zone, ZoneRoute route) {
+    /**
+     * Formats a route: its target zones with their shares in thousandths, the shed share and the
+     * reason.
+     */
+    private static String formatRoute(Zone zone, ZoneRoute route) {
         List<String> parts = new ArrayList<>();
         route.targetsInOrder().forEach((target, share) -> parts.add(target + " " + share));
         if (route.shed() > 0) {
@@ -26,19 +32,22 @@
         return zone + " -> " + String.join(", ", parts) + ": " + route.reason().displayName();
     }
 
-    /** What a plan changes, one sentence each; empty if only its epoch is another. */
-    static List<String> changes(Plan before, Plan after) {
+    /**
+     * Describes each route and drain that differs between two plans, one line each; empty if only
+     * the epoch differs.
+     */
+    static List<String> describeChanges(Plan before, Plan after) {
         List<String> changes = new ArrayList<>();
         after.routesInOrder()
                 .forEach(
                         (zone, route) -> {
                             if (!route.hasSameSharesAs(before.routeOf(zone))) {
-                                changes.add(format(zone, route));
+                                changes.add(formatRoute(zone, route));
                             }
                         });
         before.routesInOrder().keySet().stream()
                 .filter(zone -> !after.routes().containsKey(zone))
-                .forEach(zone -> changes.add(format(zone, after.routeOf(zone))));
+                .forEach(zone -> changes.add(formatRoute(zone, after.routeOf(zone))));
         after.drained().keySet().stream()
                 .filter(zone -> !before.drained().containsKey(zone))
                 .forEach(zone -> changes.add(zone + " is drained by staff"));
@@ -48,8 +57,11 @@
         return changes;
     }
 
-    /** What a proposer would plan with here: capacity, demand and condition of each zone. */
-    static String statuses(List<ZoneStatus> statuses) {
+    /**
+     * Formats the capacity, demand and condition of each zone, as this member would use them as the
+     * proposer.
+     */
+    static String formatStatuses(List<ZoneStatus> statuses) {
         StringBuilder text = new StringBuilder();
         for (ZoneStatus status : statuses) {
             text.append(
@@ -65,8 +77,10 @@
         return text.toString();
     }
 
-    /** The plan, its epoch and routes, and the members that have not confirmed it. */
-    static String table(Plan plan, MembershipView view, String proposer, boolean majority) {
+    /**
+     * Formats a plan's epoch, routes and drained zones, and the members that have not confirmed it.
+     */
+    static String formatPlan(Plan plan, MembershipView view, String proposer, boolean majority) {
         StringBuilder text = new StringBuilder();
         text.append("epoch ")
                 .append(plan.epoch())
@@ -80,7 +94,7 @@
             text.append("every zone serves its own\n");
         }
         plan.routesInOrder()
-                .forEach((zone, route) -> text.append(format(zone, route)).append('\n'));
+                .forEach((zone, route) -> text.append(formatRoute(zone, route)).append('\n'));
         plan.drained()
                 .forEach(
                         (zone, untilMillis) ->
@@ -92,18 +106,18 @@
     }
 
     private static String confirmation(Plan plan, MembershipView view) {
-        String behind =
+        String unconfirmed =
                 view.liveMembers().stream()
                         .filter(member -> !member.id().equals(view.self()))
-                        .filter(member -> isBehind(member, plan))
+                        .filter(member -> hasOlderPlan(member, plan))
                         .map(member -> member.id() + " (" + member.metadata().planEpoch() + ")")
                         .collect(Collectors.joining(", "));
-        return behind.isEmpty()
+        return unconfirmed.isEmpty()
                 ? "confirmed by all in view\n"
-                : "not confirmed by " + behind + "\n";
+                : "not confirmed by " + unconfirmed + "\n";
     }
 
-    private static boolean isBehind(MemberState member, Plan plan) {
+    private static boolean hasOlderPlan(MemberState member, Plan plan) {
         return member.knownMetadata().filter(known -> known.planEpoch() < plan.epoch()).isPresent();
     }
 }
--- a/src/test/java/cairnbridge/zones/ZonePlanCoordinatorTest.java
+++ b/src/test/java/cairnbridge/zones/ZonePlanCoordinatorTest.java
@@ -43,8 +43,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Six members in three zones with a plan in common: who proposes, who votes, and who is left
- * behind.
+ * Runs the coordinators of six members in three zones, three of them voters: election of the
+ * proposer, agreement on plans, and members that miss plans.
  */
 class ZonePlanCoordinatorTest {
     private static final long SECOND = 10_000;
@@ -52,22 +52,22 @@
     @TempDir Path folder;
     private final Map<String, Member> members = new TreeMap<>();
 
-    /** What all remember of plans from before a loss of power. */
-    private long floor;
+    /** The highest epoch that each member persisted before a power loss. */
+    private long epochFloor;
 
-    private final Set<String> gone = new HashSet<>();
-    private final Map<String, Set<String>> cut = new HashMap<>();
-    private final Map<String, List<Long>> unreachable = new HashMap<>();
+    private final Set<String> stopped = new HashSet<>();
+    private final Map<String, Set<String>> partitions = new HashMap<>();
+    private final Map<String, List<Long>> unreachableNodes = new HashMap<>();
     private long now = 100 * SECOND;
 
     private final class Member implements ZonePlanHost {
         final String name;
-        final ZonePlanCoordinator zones;
+        final ZonePlanCoordinator coordinator;
         final List<String> log = new ArrayList<>();
         final List<Long> epochs = new ArrayList<>();
         boolean frozen;
-        boolean diskStands;
-        final List<Runnable> disk = new ArrayList<>();
+        boolean diskBlocked;
+        final List<Runnable> blockedWrites = new ArrayList<>();
 
         Member(String name) throws IOException {
             this.name = name;
@@ -80,13 +80,13 @@
                             Map.of("a", "r", "b", "r", "c", "s"),
                             PlannerSettings.DEFAULT,
                             0.2);
-            zones =
+            coordinator =
                     new ZonePlanCoordinator(
                             new MemberId(name),
                             config,
                             new ZoneHealth.NodeRates(100, 0.25, 3 * SECOND, config.regions()),
                             RandomGeneratorFactory.of("L64X128MixRandom").create(name.hashCode()),
-                            floor,
+                            epochFloor,
                             new AcceptorStateFile(new FileStorageDirectory(folder), name).read(),
                             this);
         }
@@ -94,33 +94,34 @@
         @Override
         public void call(
                 MemberId to, String topic, byte[] bytes, Consumer<Optional<byte[]>> callback) {
-            Member other = members.get(to.name());
-            boolean lost = gone.contains(to.name()) || other.frozen || isCut(name, to.name());
+            Member second = members.get(to.name());
+            boolean lost =
+                    stopped.contains(to.name()) || second.frozen || isPartitioned(name, to.name());
             if (lost) {
                 callback.accept(Optional.empty());
             } else {
-                other.zones.messageReceived(
+                second.coordinator.messageReceived(
                         topic, bytes, answer -> callback.accept(Optional.of(answer)));
             }
         }
 
-        /** While its disk stands still, registers wait. */
+        /** Delays writes while the disk is blocked. */
         @Override
-        public void persist(AcceptorState register, Consumer<Optional<String>> then) {
-            Runnable writes =
+        public void persist(AcceptorState state, Consumer<Optional<String>> callback) {
+            Runnable write =
                     () -> {
                         try {
                             new AcceptorStateFile(new FileStorageDirectory(folder), name)
-                                    .write(register);
-                            then.accept(Optional.empty());
+                                    .write(state);
+                            callback.accept(Optional.empty());
                         } catch (IOException e) {
-                            then.accept(Optional.of(e.toString()));
+                            callback.accept(Optional.of(e.toString()));
                         }
                     };
-            if (diskStands) {
-                disk.add(writes);
+            if (diskBlocked) {
+                blockedWrites.add(write);
             } else {
-                writes.run();
+                write.run();
             }
         }
 
@@ -146,45 +147,47 @@
         }
     }
 
-    private boolean isCut(String one, String other) {
-        return cut.getOrDefault(one, Set.of()).contains(other)
-                || cut.getOrDefault(other, Set.of()).contains(one);
+    private boolean isPartitioned(String first, String second) {
+        return partitions.getOrDefault(first, Set.of()).contains(second)
+                || partitions.getOrDefault(second, Set.of()).contains(first);
     }
 
-    private ZonePlanCoordinatorTest fleet() throws IOException {
+    private ZonePlanCoordinatorTest startFleet() throws IOException {
         for (int i = 1; i <= 6; i++) {
             members.put("p" + i, new Member("p" + i));
         }
         return this;
     }
 
-    private MembershipView view(String holder) {
-        List<MemberState> claims = new ArrayList<>();
+    private MembershipView view(String observer) {
+        List<MemberState> states = new ArrayList<>();
         for (Member member : members.values()) {
             boolean dead =
-                    gone.contains(member.name) || member.frozen || isCut(holder, member.name);
+                    stopped.contains(member.name)
+                            || member.frozen
+                            || isPartitioned(observer, member.name);
             String zone =
                     List.of("a", "b", "c")
                             .get((Integer.parseInt(member.name.substring(1)) - 1) % 3);
-            MemberMetadata told =
+            MemberMetadata metadata =
                     MemberMetadata.builder()
                             .location(zone, "r")
                             .protocolVersion(2)
-                            .planEpoch(member.zones.plan().epoch())
-                            .recovery(new RecoveryProgress(0, 0, floor))
+                            .planEpoch(member.coordinator.plan().epoch())
+                            .recovery(new RecoveryProgress(0, 0, epochFloor))
                             .metrics(
                                     new MemberMetrics(
                                             new MemberMetrics.Load(0, 0, 100),
                                             new MemberMetrics.EndpointListStatus(1, true),
                                             new MemberMetrics.Reachability(
-                                                    unreachable.getOrDefault(
+                                                    unreachableNodes.getOrDefault(
                                                             member.name, List.of()),
                                                     List.of(
                                                             new ZoneOutcome(
                                                                     Fnv1a.hash(zone), 50, 0)),
                                                     List.of())))
                             .build();
-            claims.add(
+            states.add(
                     new MemberState(
                             new MemberId(member.name),
                             new Endpoint("10.0.0.1", 1),
@@ -192,25 +195,25 @@
                             dead ? MemberStatus.DEAD : MemberStatus.ALIVE,
                             null,
                             1,
-                            told));
+                            metadata));
         }
-        return new MembershipView(new MemberId(holder), claims, 0, MembershipStatistics.EMPTY);
+        return new MembershipView(new MemberId(observer), states, 0, MembershipStatistics.EMPTY);
     }
 
-    private void after(int seconds) {
+    private void advanceSeconds(int seconds) {
         for (int i = 0; i < 4 * seconds; i++) {
             now += SECOND / 4;
             for (Member member : members.values()) {
-                if (!gone.contains(member.name) && !member.frozen) {
-                    member.zones.viewPublished(view(member.name), now, now / 10);
+                if (!stopped.contains(member.name) && !member.frozen) {
+                    member.coordinator.viewPublished(view(member.name), now, now / 10);
                 }
             }
         }
     }
 
-    private void loses(String... names) {
+    private void loseZoneA(String... names) {
         for (String name : names) {
-            unreachable.put(
+            unreachableNodes.put(
                     name,
                     List.of(
                             Fnv1a.hash("a0"),
@@ -221,91 +224,98 @@
     }
 
     private Plan plan(String name) {
-        return members.get(name).zones.plan();
+        return members.get(name).coordinator.plan();
     }
 
     @Test
-    void aLostZoneIsOutOfUseEverywhereWithinThreeSeconds() throws IOException {
-        fleet().after(6);
-        assertEquals(Plan.EMPTY, plan("p6"), "in calm there is no plan");
-        loses("p1", "p4");
-        after(3);
+    void noMemberRoutesToAnUnreachableZoneAfterThreeSeconds() throws IOException {
+        startFleet().advanceSeconds(6);
+        assertEquals(Plan.EMPTY, plan("p6"), "no plan without a failure");
+        loseZoneA("p1", "p4");
+        advanceSeconds(3);
         members.keySet().forEach(name -> assertEquals(0, plan(name).routeOf(A).shareOf(A), name));
-        after(20);
+        advanceSeconds(20);
         members.keySet().forEach(name -> assertEquals(plan("p1"), plan(name)));
         assertEquals(0, plan("p1").routeOf(A).shed());
     }
 
-    /** Guards against voters that lost their disks with their power, and whose plans count anew. */
+    /**
+     * Guards against voters that lost their disks in a power loss and restart the epochs from 0.
+     */
     @Test
-    void afterALossEpochsGoOnAboveTheHighestThatAnybodyRemembers() throws IOException {
-        floor = 40;
-        fleet().after(6);
-        loses("p1", "p4");
-        after(3);
+    void afterAPowerLossNewEpochsExceedTheHighestPersistedEpoch() throws IOException {
+        epochFloor = 40;
+        startFleet().advanceSeconds(6);
+        loseZoneA("p1", "p4");
+        advanceSeconds(3);
         members.keySet().forEach(name -> assertEquals(0, plan(name).routeOf(A).shareOf(A), name));
         assertTrue(plan("p6").epoch() > 40, "epoch " + plan("p6").epoch());
     }
 
-    /** Guards against one proxy's own trouble that is taken for a zone's. */
+    /** Guards against a fault of one proxy that is taken for the failure of a zone. */
     @Test
-    void whatOneMemberCannotReachMovesNothing() throws IOException {
-        fleet();
-        loses("p1");
-        after(20);
+    void aZoneThatOnlyOneMemberCannotReachKeepsItsTraffic() throws IOException {
+        startFleet();
+        loseZoneA("p1");
+        advanceSeconds(20);
         assertEquals(Plan.EMPTY, plan("p1"));
     }
 
     @Test
-    void aProposerThatDiesIsFollowedByTheNextAndOneThatThawsFollows() throws IOException {
-        fleet().after(6);
-        loses("p1", "p4");
-        after(1);
+    void theNextVoterReplacesAFrozenProposerWhichCatchesUpAfterItResumes() throws IOException {
+        startFleet().advanceSeconds(6);
+        loseZoneA("p1", "p4");
+        advanceSeconds(1);
         members.get("p1").frozen = true;
-        after(15);
+        advanceSeconds(15);
         assertEquals("p2", plan("p5").proposer());
         Plan before = plan("p1");
         assertTrue(before.epoch() < plan("p5").epoch());
         members.get("p1").frozen = false;
-        after(3);
-        assertTrue(plan("p1").epoch() >= plan("p5").epoch(), "it has learnt before it proposes");
+        advanceSeconds(3);
+        assertTrue(
+                plan("p1").epoch() >= plan("p5").epoch(),
+                "it receives the newer plan before it proposes");
         for (Member member : members.values()) {
             for (int i = 1; i < member.epochs.size(); i++) {
-                assertTrue(member.epochs.get(i) > member.epochs.get(i - 1), "epochs never go back");
+                assertTrue(member.epochs.get(i) > member.epochs.get(i - 1), "epochs must increase");
             }
         }
     }
 
     @Test
-    void withoutAMajorityThePlanStaysAndTheOtherSideGoesOn() throws IOException {
-        fleet().after(6);
+    void aMinorityPartitionKeepsItsPlanAndHealingLeavesNoRoutes() throws IOException {
+        startFleet().advanceSeconds(6);
         for (String name : List.of("p1", "p4")) {
-            cut.put(name, Set.of("p2", "p3", "p5", "p6"));
+            partitions.put(name, Set.of("p2", "p3", "p5", "p6"));
         }
-        loses("p1", "p4");
-        after(10);
+        loseZoneA("p1", "p4");
+        advanceSeconds(10);
         assertEquals(0, plan("p1").epoch());
-        assertTrue(members.get("p1").zones.status().contains("NO MAJORITY"));
-        unreachable.clear();
-        cut.clear();
-        after(5);
+        assertTrue(members.get("p1").coordinator.status().contains("NO MAJORITY"));
+        unreachableNodes.clear();
+        partitions.clear();
+        advanceSeconds(5);
         assertEquals(Plan.EMPTY.routes(), plan("p3").routes());
     }
 
     @Test
-    void staffDrainAZoneThroughAnyMemberAndGiveItBackNoSoonerThanSaid() throws IOException {
-        fleet().after(6);
-        assertEquals("400 no such zone", members.get("p6").zones.execute("drain z 5"));
-        assertTrue(members.get("p6").zones.execute("drain b 20").startsWith("200 handed to p1"));
-        after(8);
+    void operatorsDrainAZoneThroughAnyMemberAndCannotRestoreItBeforeTheRequestedTime()
+            throws IOException {
+        startFleet().advanceSeconds(6);
+        assertEquals("400 no such zone", members.get("p6").coordinator.execute("drain z 5"));
+        assertTrue(
+                members.get("p6").coordinator.execute("drain b 20").startsWith("200 handed to p1"));
+        advanceSeconds(8);
         Zone b = new Zone("b");
         members.keySet().forEach(name -> assertEquals(0, plan(name).routeOf(b).shareOf(b), name));
-        assertTrue(members.get("p1").zones.execute("restore b").startsWith("400 drained for "));
-        after(16);
+        assertTrue(
+                members.get("p1").coordinator.execute("restore b").startsWith("400 drained for "));
+        advanceSeconds(16);
         assertEquals(
                 "200 taken, zones shows when it is in force",
-                members.get("p1").zones.execute("restore b"));
-        after(30);
+                members.get("p1").coordinator.execute("restore b"));
+        advanceSeconds(30);
         members.keySet()
                 .forEach(
                         name ->
@@ -314,51 +324,52 @@
     }
 
     /**
-     * Guards against a voter that answers by a promise which a loss of power may take back, and
-     * against one that waits for its disk: with the others' it is a majority all the same.
+     * Guards against a voter that sends a promise before it is persisted, which a power loss would
+     * revoke, and against a proposer that needs an answer from a voter with a blocked disk although
+     * the other two are a majority.
      */
     @Test
-    void aVoterWhoseDiskStandsStillAnswersNothingUntilItIsKeptAndOthersGoOn() throws IOException {
-        fleet().after(6);
+    void aVoterWithABlockedDiskAnswersOnlyOncePersistedWhileOtherVotersAgree() throws IOException {
+        startFleet().advanceSeconds(6);
         Member slow = members.get("p2");
-        slow.diskStands = true;
+        slow.diskBlocked = true;
         List<byte[]> answers = new ArrayList<>();
-        ConsensusMessage.Prepare high = new ConsensusMessage.Prepare(new Ballot(50, "p9"));
-        slow.zones.messageReceived(
-                ZonePlanCoordinator.CONSENSUS_TOPIC, ConsensusCodec.encode(high), answers::add);
-        slow.zones.messageReceived(
+        ConsensusMessage.Prepare prepare = new ConsensusMessage.Prepare(new Ballot(50, "p9"));
+        slow.coordinator.messageReceived(
+                ZonePlanCoordinator.CONSENSUS_TOPIC, ConsensusCodec.encode(prepare), answers::add);
+        slow.coordinator.messageReceived(
                 ZonePlanCoordinator.CONSENSUS_TOPIC,
                 ConsensusCodec.encode(new ConsensusMessage.Prepare(new Ballot(60, "p9"))),
                 answers::add);
-        assertEquals(0, answers.size(), "nothing is kept yet");
-        loses("p1", "p4");
-        after(6);
+        assertEquals(0, answers.size(), "nothing is persisted yet");
+        loseZoneA("p1", "p4");
+        advanceSeconds(6);
         assertEquals(
                 0,
                 plan("p5").routeOf(new Zone("a")).shareOf(new Zone("a")),
-                "two of three voters are enough");
-        slow.diskStands = false;
-        List.copyOf(slow.disk).forEach(Runnable::run);
-        assertTrue(answers.size() >= 2, "what waited is answered in its turn");
+                "two of three voters are a majority");
+        slow.diskBlocked = false;
+        List.copyOf(slow.blockedWrites).forEach(Runnable::run);
+        assertTrue(answers.size() >= 2, "delayed messages are answered in order");
         assertTrue(
                 ConsensusCodec.decodeMessage(answers.get(0)) instanceof ConsensusMessage.Promise);
-        assertEquals(high.ballot(), ConsensusCodec.decodeMessage(answers.get(0)).ballot());
+        assertEquals(prepare.ballot(), ConsensusCodec.decodeMessage(answers.get(0)).ballot());
     }
 
     @Test
-    void aVoterKeepsWhatItPromisedOverItsEnd() throws IOException {
-        fleet().after(6);
-        loses("p1", "p4");
-        after(4);
+    void theAgreedPlanSurvivesARestartOfAllVoters() throws IOException {
+        startFleet().advanceSeconds(6);
+        loseZoneA("p1", "p4");
+        advanceSeconds(4);
         long epoch = plan("p1").epoch();
         for (String name : List.of("p1", "p2", "p3")) {
             members.put(name, new Member(name));
         }
-        unreachable.clear();
+        unreachableNodes.clear();
         members.keySet().removeIf(name -> name.compareTo("p3") > 0);
-        after(3);
+        advanceSeconds(3);
         assertTrue(
                 plan("p2").epoch() >= epoch,
-                "nobody but the voters' files knew it: " + plan("p2").epoch());
+                "the plan exists only in the voters' files: " + plan("p2").epoch());
     }
 }
