--- a/src/main/java/cairnbridge/zones/DrainRequests.java
+++ b/src/main/java/cairnbridge/zones/DrainRequests.java
@@ -11,7 +11,9 @@
  * milliseconds.
  */
 final class DrainRequests {
-    /** The earliest time at which each zone may be restored; empty for a request to restore it. */
+    /**
+     * The pending request for each zone: the earliest restore time of a drain; empty for a restore.
+     */
     private final Map<Zone, Optional<Long>> requests = new HashMap<>();
 
     boolean isEmpty() {
--- a/src/main/java/cairnbridge/zones/PlanProposer.java
+++ b/src/main/java/cairnbridge/zones/PlanProposer.java
@@ -47,7 +47,7 @@
      * @param acceptor the acceptor of this member, called directly if it is a voter
      * @param nextPlan computes the next plan from the newest one; returns the same plan if nothing
      *     changes
-     * @param agreed receives each plan that a majority has accepted
+     * @param onAgreed receives each plan that a majority has accepted
      */
     PlanProposer(
             MemberId self,
@@ -56,14 +56,14 @@
             ZonePlanHost host,
             RandomGenerator random,
             UnaryOperator<Plan> nextPlan,
-            Consumer<Plan> agreed) {
+            Consumer<Plan> onAgreed) {
         this.self = self;
         this.voters = voters;
         this.acceptor = acceptor;
         this.host = host;
         this.random = random;
         this.nextPlan = nextPlan;
-        this.onAgreed = agreed;
+        this.onAgreed = onAgreed;
     }
 
     /**
@@ -74,7 +74,10 @@
         reproposalNeeded = true;
     }
 
-    /** Proposes no plan with a lower epoch from now on. */
+    /**
+     * Sets the floor below which no epoch is proposed; a lower epoch is replaced by the one after
+     * the floor.
+     */
     void raiseEpochFloor(long floor) {
         epochFloor = floor;
     }
--- a/src/main/java/cairnbridge/zones/ZoneMember.java
+++ b/src/main/java/cairnbridge/zones/ZoneMember.java
@@ -145,7 +145,7 @@
     public void viewPublished(MembershipView newView, long now) {
         view = newView;
         coordinator.viewPublished(newView, now, System.currentTimeMillis());
-        // The zones that this proxy reaches and its request rates change between plans.
+        // The reachable zones and the request rates of this proxy also change between plans.
         if (now - routeUpdatedAt >= ROUTE_UPDATE_INTERVAL) {
             routeUpdatedAt = now;
             updateRoute(coordinator.plan());
--- a/src/main/java/cairnbridge/zones/ZonePlanCoordinator.java
+++ b/src/main/java/cairnbridge/zones/ZonePlanCoordinator.java
@@ -40,7 +40,10 @@
     /** The proposer sends an agreed plan to at most this many members; the others request it. */
     private static final int MAX_PUSHES = 64;
 
-    /** A member makes no plans for this long after its start, while it has few announcements. */
+    /**
+     * A member makes no plans for this long after its start, because its first information on
+     * unreachable zones is unreliable.
+     */
     private static final long START_DELAY = 5 * Ticks.SECOND;
 
     private final MemberId self;
@@ -172,14 +175,14 @@
 
     /** Computes the plan that follows a given one; returns the given plan if nothing changes. */
     private Plan nextPlan(Plan from) {
-        List<ListedNode> servers = host.servers();
+        List<ListedNode> nodes = host.servers();
         // Guards against a member that has just started and takes zones for unreachable, because it
         // has no endpoint list yet, or because its first calls were late.
-        if (servers.isEmpty() || now - startedAt < START_DELAY) {
+        if (nodes.isEmpty() || now - startedAt < START_DELAY) {
             return from;
         }
         List<ZoneStatus> statuses =
-                health.evaluate(view.orElseThrow().liveMembers(), servers, now, unixMillis);
+                health.evaluate(view.orElseThrow().liveMembers(), nodes, now, unixMillis);
         Map<Zone, Long> drained = drainRequests.applyTo(from.drained(), unixMillis);
         Planner current = planner.orElseThrow();
         return current.isDue(now) || !drained.equals(from.drained())
@@ -203,8 +206,8 @@
     }
 
     /**
-     * Puts a plan into force unless its epoch is lower than the floor or not higher than the
-     * current one.
+     * Puts a plan into force unless its epoch is lower than the floor or not higher than that of
+     * the current plan.
      */
     private void apply(Plan next) {
         if (next.epoch() <= plan.epoch() || next.epoch() < epochFloor) {
@@ -296,7 +299,7 @@
     public String execute(String command) {
         String[] tokens = command.split(" +");
         Zone zone = new Zone(tokens.length > 1 ? tokens[1] : "");
-        if (host.servers().stream().noneMatch(server -> server.zone().equals(zone))) {
+        if (host.servers().stream().noneMatch(node -> node.zone().equals(zone))) {
             return "400 no such zone";
         }
         if (settings.consensus()) {
--- a/src/main/java/cairnbridge/zones/ZoneSettings.java
+++ b/src/main/java/cairnbridge/zones/ZoneSettings.java
@@ -17,8 +17,8 @@
  *     start
  * @param regions region by zone
  * @param planner the limits for the steps of plans
- * @param reroutedShare the share of the requests for a zone unreachable from this proxy that is
- *     rerouted to other zones until a plan moves them; the rest is shed
+ * @param reroutedShare if a proxy cannot reach a zone, the share of the requests for that zone that
+ *     it sends to other zones until a plan moves the traffic; it sheds the rest
  */
 public record ZoneSettings(
         boolean consensus,
--- a/src/main/java/cairnbridge/zones/consensus/AcceptorState.java
+++ b/src/main/java/cairnbridge/zones/consensus/AcceptorState.java
@@ -6,7 +6,7 @@
 /**
  * The acceptor state of one voter. Immutable: {@link #handle} returns the next state, which has to
  * be persisted before the answer is sent. Any two majorities share a voter, so the promises of a
- * majority always contain the newest plan that a majority has accepted.
+ * majority always contain the latest plan that a majority has accepted, or a later one.
  *
  * @param promised the highest ballot that was promised
  * @param accepted the ballot of the plan that was accepted last
--- a/src/main/java/cairnbridge/zones/consensus/AcceptorStateFile.java
+++ b/src/main/java/cairnbridge/zones/consensus/AcceptorStateFile.java
@@ -17,7 +17,7 @@
     private final StorageDirectory directory;
     private final String name;
 
-    /** Uses the file of a name in a directory. */
+    /** Uses the file with the given name in a directory. */
     public AcceptorStateFile(StorageDirectory directory, String name) {
         this.directory = directory;
         this.name = name;
--- a/src/main/java/cairnbridge/zones/plan/PlanTransition.java
+++ b/src/main/java/cairnbridge/zones/plan/PlanTransition.java
@@ -32,8 +32,8 @@
     }
 
     /**
-     * Reduces the next shares in place. The excess is served by the source zone up to the share it
-     * served before; the rest is shed.
+     * Reduces in place the shares that the next plan adds to overloaded zones. The source zone
+     * serves the excess up to the share that it served before; the rest is shed.
      */
     static void limitToCapacity(
             Map<Zone, TrafficShares> present,
--- a/src/main/java/cairnbridge/zones/plan/Planner.java
+++ b/src/main/java/cairnbridge/zones/plan/Planner.java
@@ -40,7 +40,7 @@
         startedAt = now;
     }
 
-    /** Whether the interval since the last step is over. */
+    /** Whether the step interval since the last agreed plan is over. */
     public boolean isDue(long now) {
         return now - steppedAt >= settings.stepInterval();
     }
--- a/src/main/java/cairnbridge/zones/plan/ZoneHealth.java
+++ b/src/main/java/cairnbridge/zones/plan/ZoneHealth.java
@@ -126,14 +126,14 @@
     /* Returns the status of each zone that has a node in the endpoint list or a live member.
      *
      * @param live the live members
-     * @param servers the nodes of the endpoint list
+     * @param listedNodes the nodes of the endpoint list
      * @param unixMillis the wall-clock time, compared with the start times of nodes
      */
     public List<ZoneStatus> evaluate(
-            List<MemberState> live, List<ListedNode> servers, long now, long unixMillis) {
+            List<MemberState> live, List<ListedNode> listedNodes, long now, long unixMillis) {
         Map<Zone, List<ListedNode>> nodesByZone = new TreeMap<>();
-        for (ListedNode server : servers) {
-            nodesByZone.computeIfAbsent(server.zone(), zone -> new ArrayList<>()).add(server);
+        for (ListedNode node : listedNodes) {
+            nodesByZone.computeIfAbsent(node.zone(), zone -> new ArrayList<>()).add(node);
         }
         Map<Zone, Double> demand = demand(live);
         demand.keySet()
@@ -241,8 +241,9 @@
     }
 
     /**
-     * The number of members that must report a zone or node as unreachable: 2, or 1 if only one
-     * member sends to the zone and only one member runs in it.
+     * The number of members that must report a zone or node as unreachable: 2, so that a fault of
+     * one member does not suffice; 1 if only one member sends requests to the zone and only one
+     * member runs in it, as no other member could confirm the report.
      */
     private static long minReporters(List<MemberState> members, Zone zone, int senders) {
         long inZone = members.stream().filter(member -> member.isInZone(zone.name())).count();
--- a/src/test/java/cairnbridge/zones/ZonePlanCoordinatorTest.java
+++ b/src/test/java/cairnbridge/zones/ZonePlanCoordinatorTest.java
@@ -94,13 +94,15 @@
         @Override
         public void call(
                 MemberId to, String topic, byte[] bytes, Consumer<Optional<byte[]>> callback) {
-            Member second = members.get(to.name());
+            Member receiver = members.get(to.name());
             boolean lost =
-                    stopped.contains(to.name()) || second.frozen || isPartitioned(name, to.name());
+                    stopped.contains(to.name())
+                            || receiver.frozen
+                            || isPartitioned(name, to.name());
             if (lost) {
                 callback.accept(Optional.empty());
             } else {
-                second.coordinator.messageReceived(
+                receiver.coordinator.messageReceived(
                         topic, bytes, answer -> callback.accept(Optional.of(answer)));
             }
         }
@@ -127,13 +129,13 @@
 
         @Override
         public List<ListedNode> servers() {
-            List<ListedNode> servers = new ArrayList<>();
+            List<ListedNode> nodes = new ArrayList<>();
             for (String zone : List.of("a", "b", "c")) {
                 for (int i = 0; i < 4; i++) {
-                    servers.add(new ListedNode(Fnv1a.hash(zone + i), new Zone(zone), true, 1, 0));
+                    nodes.add(new ListedNode(Fnv1a.hash(zone + i), new Zone(zone), true, 1, 0));
                 }
             }
-            return servers;
+            return nodes;
         }
 
         @Override
@@ -211,7 +213,7 @@
         }
     }
 
-    private void loseZoneA(String... names) {
+    private void makeZoneAUnreachableFor(String... names) {
         for (String name : names) {
             unreachableNodes.put(
                     name,
@@ -231,7 +233,7 @@
     void noMemberRoutesToAnUnreachableZoneAfterThreeSeconds() throws IOException {
         startFleet().advanceSeconds(6);
         assertEquals(Plan.EMPTY, plan("p6"), "no plan without a failure");
-        loseZoneA("p1", "p4");
+        makeZoneAUnreachableFor("p1", "p4");
         advanceSeconds(3);
         members.keySet().forEach(name -> assertEquals(0, plan(name).routeOf(A).shareOf(A), name));
         advanceSeconds(20);
@@ -246,7 +248,7 @@
     void afterAPowerLossNewEpochsExceedTheHighestPersistedEpoch() throws IOException {
         epochFloor = 40;
         startFleet().advanceSeconds(6);
-        loseZoneA("p1", "p4");
+        makeZoneAUnreachableFor("p1", "p4");
         advanceSeconds(3);
         members.keySet().forEach(name -> assertEquals(0, plan(name).routeOf(A).shareOf(A), name));
         assertTrue(plan("p6").epoch() > 40, "epoch " + plan("p6").epoch());
@@ -256,7 +258,7 @@
     @Test
     void aZoneThatOnlyOneMemberCannotReachKeepsItsTraffic() throws IOException {
         startFleet();
-        loseZoneA("p1");
+        makeZoneAUnreachableFor("p1");
         advanceSeconds(20);
         assertEquals(Plan.EMPTY, plan("p1"));
     }
@@ -264,7 +266,7 @@
     @Test
     void theNextVoterReplacesAFrozenProposerWhichCatchesUpAfterItResumes() throws IOException {
         startFleet().advanceSeconds(6);
-        loseZoneA("p1", "p4");
+        makeZoneAUnreachableFor("p1", "p4");
         advanceSeconds(1);
         members.get("p1").frozen = true;
         advanceSeconds(15);
@@ -289,7 +291,7 @@
         for (String name : List.of("p1", "p4")) {
             partitions.put(name, Set.of("p2", "p3", "p5", "p6"));
         }
-        loseZoneA("p1", "p4");
+        makeZoneAUnreachableFor("p1", "p4");
         advanceSeconds(10);
         assertEquals(0, plan("p1").epoch());
         assertTrue(members.get("p1").coordinator.status().contains("NO MAJORITY"));
@@ -342,7 +344,7 @@
                 ConsensusCodec.encode(new ConsensusMessage.Prepare(new Ballot(60, "p9"))),
                 answers::add);
         assertEquals(0, answers.size(), "nothing is persisted yet");
-        loseZoneA("p1", "p4");
+        makeZoneAUnreachableFor("p1", "p4");
         advanceSeconds(6);
         assertEquals(
                 0,
@@ -359,7 +361,7 @@
     @Test
     void theAgreedPlanSurvivesARestartOfAllVoters() throws IOException {
         startFleet().advanceSeconds(6);
-        loseZoneA("p1", "p4");
+        makeZoneAUnreachableFor("p1", "p4");
         advanceSeconds(4);
         long epoch = plan("p1").epoch();
         for (String name : List.of("p1", "p2", "p3")) {
--- a/src/test/java/cairnbridge/zones/consensus/ConsensusTest.java
+++ b/src/test/java/cairnbridge/zones/consensus/ConsensusTest.java
@@ -30,9 +30,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Model checking of the consensus with three voters and one to three proposers. Explores the orders
- * in which messages are delivered, up to a depth, and random runs beyond it. Invariants: at most
- * one plan is agreed on per epoch, and each agreed plan is derived from the previously agreed one.
+ * Model checking of the consensus with three voters and one to three proposers. Explores all orders
+ * in which messages are delivered, delayed or lost, up to a depth and a number of states; random
+ * runs go beyond that depth. Invariants: at most one plan is agreed on per epoch, and each agreed
+ * plan is derived from the previously agreed one.
  */
 class ConsensusTest {
     private static final int VOTERS = 3;
@@ -178,31 +179,32 @@
     }
 
     /**
-     * Checks all reachable states up to a depth, at most {@code maxStates}; returns their number.
+     * Explores the states reachable within a depth, at most {@code maxStates}, and checks the
+     * invariants; returns the number of states.
      */
     private static int explore(int proposers, int depth, int maxRestarts, int maxStates) {
         Set<SystemState> seen = new HashSet<>();
-        ArrayDeque<SystemState> now = new ArrayDeque<>(List.of(initialState(proposers)));
-        for (int i = 0; i < depth && !now.isEmpty(); i++) {
-            ArrayDeque<SystemState> next = new ArrayDeque<>();
-            for (SystemState state : now) {
+        ArrayDeque<SystemState> frontier = new ArrayDeque<>(List.of(initialState(proposers)));
+        for (int i = 0; i < depth && !frontier.isEmpty(); i++) {
+            ArrayDeque<SystemState> nextFrontier = new ArrayDeque<>();
+            for (SystemState state : frontier) {
                 for (InFlightMessage delivered : state.inFlight) {
                     SystemState after = deliver(state, delivered);
                     if (seen.size() < maxStates && seen.add(after)) {
                         assertSafety(after);
-                        next.add(after);
+                        nextFrontier.add(after);
                     }
                 }
                 for (int p = 0; p < proposers; p++) {
                     if (state.restarts.get(p) < maxRestarts && seen.size() < maxStates) {
                         SystemState after = restartProposer(state, p);
                         if (seen.add(after)) {
-                            next.add(after);
+                            nextFrontier.add(after);
                         }
                     }
                 }
             }
-            now = next;
+            frontier = nextFrontier;
         }
         return seen.size();
     }
--- a/src/test/java/cairnbridge/zones/plan/PlannerTest.java
+++ b/src/test/java/cairnbridge/zones/plan/PlannerTest.java
@@ -265,14 +265,17 @@
         for (long seed = 1; seed <= 300; seed++) {
             RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
             PlannerTest test = new PlannerTest();
-            List<Zone> all = new ArrayList<>();
+            List<Zone> allZones = new ArrayList<>();
             for (int i = 0; i < 2 + random.nextInt(5); i++) {
-                all.add(new Zone("z" + i));
+                allZones.add(new Zone("z" + i));
                 test.setZone(
-                        all.get(i), "r" + i % 2, 100 + random.nextInt(900), random.nextInt(800));
+                        allZones.get(i),
+                        "r" + i % 2,
+                        100 + random.nextInt(900),
+                        random.nextInt(800));
             }
             for (int round = 0; round < 40; round++) {
-                Zone zone = all.get(random.nextInt(all.size()));
+                Zone zone = allZones.get(random.nextInt(allZones.size()));
                 String region = test.zones.get(zone).region();
                 switch (random.nextInt(5)) {
                     case 0 ->
@@ -296,7 +299,7 @@
                     test.advanceSeconds(1);
                     try {
                         test.assertNoOverloadDuringTransition(before, test.plan);
-                        for (Zone each : all) {
+                        for (Zone each : allZones) {
                             test.plan
                                     .routeOf(each)
                                     .targets()
--- a/src/test/java/cairnbridge/zones/plan/ZoneHealthTest.java
+++ b/src/test/java/cairnbridge/zones/plan/ZoneHealthTest.java
@@ -25,7 +25,7 @@
     private final ZoneHealth health =
             new ZoneHealth(
                     new ZoneHealth.NodeRates(60, 0.25, 3 * SECOND, Map.of("a", "r", "b", "r")));
-    private final List<ListedNode> servers =
+    private final List<ListedNode> listedNodes =
             IntStream.range(0, 128)
                     .mapToObj(i -> new ListedNode(i, new Zone(i % 2 == 0 ? "a" : "b"), true, 1, 0))
                     .toList();
@@ -72,7 +72,7 @@
     }
 
     private Condition conditionOfZoneA(long now) {
-        return health.evaluate(liveMembers, servers, now, 0).stream()
+        return health.evaluate(liveMembers, listedNodes, now, 0).stream()
                 .filter(status -> status.zone().equals(new Zone("a")))
                 .findFirst()
                 .orElseThrow()
