--- a/src/main/java/cairnbridge/zones/PlanAcceptor.java
+++ b/src/main/java/cairnbridge/zones/PlanAcceptor.java
@@ -58,7 +58,7 @@
         try {
             transition = state.handle(ConsensusCodec.decodeMessage(message));
         } catch (IllegalArgumentException e) {
-            answer.accept(NO_ANSWER); // The proposer may run another version.
+            answer.accept(NO_ANSWER); // The proposer may run an incompatible version.
             return;
         }
         if (transition.next().isEmpty()) {
--- a/src/main/java/cairnbridge/zones/consensus/AcceptorState.java
+++ b/src/main/java/cairnbridge/zones/consensus/AcceptorState.java
@@ -17,7 +17,8 @@
     public static final AcceptorState EMPTY =
             new AcceptorState(Ballot.NONE, Ballot.NONE, Plan.EMPTY);
 
-    /* The result of handling a message.
+    /**
+     * The result of handling a message.
      *
      * @param next the next state, which has to be persisted; empty if the state is unchanged
      * @param answer the answer to send once the next state is persisted
--- a/src/main/java/cairnbridge/zones/consensus/AcceptorStateFile.java
+++ b/src/main/java/cairnbridge/zones/consensus/AcceptorStateFile.java
@@ -23,7 +23,8 @@
         this.name = name;
     }
 
-    /* Reads the persisted state; {@link AcceptorState#EMPTY} if there is no file.
+    /**
+     * Reads the persisted state; {@link AcceptorState#EMPTY} if there is no file.
      *
      * @throws IOException if the file is damaged or cannot be read
      */
--- a/src/main/java/cairnbridge/zones/consensus/ConsensusMessage.java
+++ b/src/main/java/cairnbridge/zones/consensus/ConsensusMessage.java
@@ -10,8 +10,11 @@
     /** Requests a voter's promise to accept no proposal with a lower ballot. */
     record Prepare(Ballot ballot) implements ConsensusMessage {}
 
-    /* A voter's promise to accept no proposal with a lower ballot.
-     * @param accepted the ballot of the plan that the voter accepted last; {@link Ballot#NONE} if none
+    /**
+     * A voter's promise to accept no proposal with a lower ballot.
+     *
+     * @param accepted the ballot of the plan that the voter accepted last; {@link Ballot#NONE} if
+     *     none
      * @param plan the plan that the voter accepted last; {@link Plan#EMPTY} if none
      */
     record Promise(Ballot ballot, Ballot accepted, Plan plan) implements ConsensusMessage {}
--- a/src/main/java/cairnbridge/zones/consensus/Proposal.java
+++ b/src/main/java/cairnbridge/zones/consensus/Proposal.java
@@ -64,13 +64,13 @@
                 .orElse(Plan.EMPTY);
     }
 
-    /** Returns this proposal with the proposed plan. */
+    /** Returns a copy of this proposal that proposes a plan. */
     public Proposal withPlan(Plan plan) {
         return new Proposal(
                 ballot, voterCount, promises, Optional.of(plan), accepted, rejected, highestBallot);
     }
 
-    /** Returns this proposal with a voter's answer; ignores an answer to another ballot. */
+    /** Returns a copy with the answer of a voter; ignores an answer to another ballot. */
     public Proposal withAnswer(String voter, ConsensusMessage answer) {
         if (!answer.ballot().equals(ballot)) {
             return this;
--- a/src/main/java/cairnbridge/zones/plan/PlanObjective.java
+++ b/src/main/java/cairnbridge/zones/plan/PlanObjective.java
@@ -52,7 +52,8 @@
                 && !drained.containsKey(zone.zone());
     }
 
-    /* Computes the target shares of each zone's traffic.
+    /**
+     * Computes the target shares of each zone's traffic.
      *
      * @param present the present shares of each zone's traffic
      * @param drained the zones that operators have drained
@@ -140,7 +141,7 @@
         }
         boolean otherRegion = !zones.get(target).region().equals(zone.region());
         if (otherRegion && freeInRegion > share * zone.demand()) {
-            return; // Other zones of the region have enough capacity, with a margin.
+            return; // Other zones of the region have capacity to spare; assignRest uses it.
         }
         double fittingShare =
                 zone.demand() <= 0 ? 1 : Math.max(0, freeForPresent.get(target) / zone.demand());
--- a/src/main/java/cairnbridge/zones/plan/Zone.java
+++ b/src/main/java/cairnbridge/zones/plan/Zone.java
@@ -1,6 +1,7 @@
 package cairnbridge.zones.plan;
 
-/* A zone (failure domain) of the fleet. Ordered by name.
+/**
+ * A zone (failure domain) of the fleet. Ordered by name.
  *
  * @param name the name of the zone in the endpoint list
  */
--- a/src/main/java/cairnbridge/zones/plan/ZoneHealth.java
+++ b/src/main/java/cairnbridge/zones/plan/ZoneHealth.java
@@ -50,7 +50,8 @@
 
     private static final int MIN_RECENT_MEMBERS = 6;
 
-    /* The request rates that nodes can serve.
+    /**
+     * The request rates that nodes can serve.
      *
      * @param requestsPerSecond the rate that a node of size one serves after its slow start
      * @param slowStartFactor the fraction of that rate at the node's start; it rises linearly to 1
@@ -123,7 +124,8 @@
         this.rates = rates;
     }
 
-    /* Returns the status of each zone that has a node in the endpoint list or a live member.
+    /**
+     * Returns the status of each zone that has a node in the endpoint list or a live member.
      *
      * @param live the live members
      * @param listedNodes the nodes of the endpoint list
--- a/src/main/java/cairnbridge/zones/plan/ZoneStatus.java
+++ b/src/main/java/cairnbridge/zones/plan/ZoneStatus.java
@@ -1,10 +1,12 @@
 package cairnbridge.zones.plan;
 
-/* The capacity, demand and condition of one zone.
+/**
+ * The capacity, demand and condition of one zone.
  *
  * @param zone the zone
  * @param region the region of the zone; empty if the fleet file assigns none
- * @param capacity requests a second that its ready and reachable nodes can serve now, by their listed size and slow-start progress
+ * @param capacity requests a second that its ready and reachable nodes can serve now, by their
+ *     listed size and slow-start progress
  * @param demand requests a second that the proxies in the zone receive
  * @param condition the condition that most members report
  */
--- a/src/main/java/cairnbridge/zones/routing/LoadShedding.java
+++ b/src/main/java/cairnbridge/zones/routing/LoadShedding.java
@@ -14,7 +14,8 @@
 public final class LoadShedding {
     private LoadShedding() {}
 
-    /* Returns the share of each category's requests to shed.
+    /**
+     * Returns the share of each category's requests to shed.
      *
      * @param rates the recent request rate of each category, in the order of the categories
      * @param share the share of all requests to shed
--- a/src/main/java/cairnbridge/zones/routing/ZoneRouter.java
+++ b/src/main/java/cairnbridge/zones/routing/ZoneRouter.java
@@ -69,7 +69,8 @@
     private final Map<Settings.Category, Double> shedByCategory;
     private final Counts counts;
 
-    /* Creates a router for one route.
+    /**
+     * Creates a router for one route.
      *
      * @param zoneNames the names of the zones; the index of a name is the id of its zone
      * @param categories the classes of requests
