--- a/src/main/java/cairnbridge/fleet/membership/AntiEntropy.java
+++ b/src/main/java/cairnbridge/fleet/membership/AntiEntropy.java
@@ -26,18 +26,18 @@
     private static final int SMALL_FLEET = 32;
 
     /** A digest that differs for so long, with nothing new meanwhile, was missed by gossip. */
-    private static final long STABLE = 3 * Ticks.SECOND;
+    private static final long MIN_STABLE_TIME = 3 * Ticks.SECOND;
 
     /** Between two comparisons that this member begins. */
-    private static final long MIN_GAP = Ticks.SECOND / 5;
+    private static final long MIN_COMPARISON_INTERVAL = Ticks.SECOND / 5;
 
     /** After a member has returned a comparison begins within this time. */
     private static final int MAX_DELAY_AFTER_RETURN = 3_000;
 
     /** A newcomer compares this often, each time after twice the time. */
-    private static final int NEWCOMER_COMPARISONS = 4;
+    private static final int JOIN_COMPARISONS = 4;
 
-    private static final long FIRST_NEWCOMER_DELAY = Ticks.SECOND;
+    private static final long FIRST_JOIN_COMPARISON_DELAY = Ticks.SECOND;
 
     /** Ids of calls begin here, apart from those of the failure detector. */
     private static final long FIRST_CALL_ID = 1L << 62;
@@ -47,13 +47,13 @@
     private final SwimContext context;
 
     /** Calls under way, and to whom. */
-    private final Map<Long, Endpoint> calls = new HashMap<>();
+    private final Map<Long, Endpoint> pendingCalls = new HashMap<>();
 
     private MemberUpdates updates;
     private long lastCallId = FIRST_CALL_ID;
     private long startedAt;
-    private long begunAt = NEVER;
-    private long sameDigestAt;
+    private long lastComparisonAt = NEVER;
+    private long lastMatchAt;
     private boolean joined;
     private boolean comparisonScheduled;
 
@@ -62,7 +62,7 @@
     }
 
     /** Connects the two parts that need one another; before the start. */
-    void applyTo(MemberUpdates memberUpdates) {
+    void setMemberUpdates(MemberUpdates memberUpdates) {
         updates = memberUpdates;
     }
 
@@ -77,13 +77,13 @@
     }
 
     /** Starts the comparisons at intervals. */
-    void startIntervals() {
-        context.schedule(randomInterval(), this::compareAtInterval);
+    void startPeriodicComparisons() {
+        context.schedule(randomInterval(), this::comparePeriodically);
     }
 
     /** Starts the further comparisons of a newcomer. */
-    void startNewcomerComparisons() {
-        compareAsNewcomer(1, FIRST_NEWCOMER_DELAY);
+    void startJoinComparisons() {
+        scheduleJoinComparison(1, FIRST_JOIN_COMPARISON_DELAY);
     }
 
     /**
@@ -91,19 +91,19 @@
      * their turns for tens of seconds: whoever came before was not there yet when its first call
      * was answered.
      */
-    private void compareAsNewcomer(int count, long delay) {
+    private void scheduleJoinComparison(int count, long delay) {
         context.schedule(
                 delay / 2 + context.random.nextLong(delay),
                 () -> {
                     compareWithRandom(1);
-                    if (count < NEWCOMER_COMPARISONS) {
-                        compareAsNewcomer(count + 1, 2 * delay);
+                    if (count < JOIN_COMPARISONS) {
+                        scheduleJoinComparison(count + 1, 2 * delay);
                     }
                 });
     }
 
     /** For how long this process has run. */
-    long runningFor() {
+    long uptime() {
         return context.now() - startedAt;
     }
 
@@ -119,8 +119,8 @@
         return mean / 2 + context.randomDelay(mean);
     }
 
-    private void compareAtInterval() {
-        context.schedule(randomInterval(), this::compareAtInterval);
+    private void comparePeriodically() {
+        context.schedule(randomInterval(), this::comparePeriodically);
         compareWithRandom(1);
     }
 
@@ -147,23 +147,23 @@
     /** Guards against views that differ until the next interval though all has been passed on. */
     void digestReceived(MemberRecord sender, long digest) {
         boolean same = digest == 0 || digest == context.viewDigest();
-        if (same || context.stableFor() < STABLE) {
-            sameDigestAt = context.now();
-        } else if (context.now() - sameDigestAt > STABLE && context.now() - begunAt > STABLE) {
+        if (same || context.stableFor() < MIN_STABLE_TIME) {
+            lastMatchAt = context.now();
+        } else if (context.now() - lastMatchAt > MIN_STABLE_TIME && context.now() - lastComparisonAt > MIN_STABLE_TIME) {
             compareWith(sender.state.endpoint());
         }
     }
 
     /** Sends the digests of this view, unless that was done a moment ago. */
     void compareWith(Endpoint endpoint) {
-        boolean tooSoon = joined && context.now() - begunAt < MIN_GAP;
+        boolean tooSoon = joined && context.now() - lastComparisonAt < MIN_COMPARISON_INTERVAL;
         if (context.self.hasLeft() || tooSoon) {
             return;
         }
-        begunAt = context.now();
+        lastComparisonAt = context.now();
         context.counters.stateExchanges++;
         long callId = ++lastCallId;
-        calls.put(callId, endpoint);
+        pendingCalls.put(callId, endpoint);
         Message digest = new Message.Digest(partitionHashes());
         context.host.call(callId, endpoint, context.packet(digest));
     }
@@ -231,13 +231,13 @@
 
     /** Handles the end of a call; those that are no comparisons change nothing. */
     void callCompleted(long callId, Packet answer) {
-        Endpoint endpoint = calls.remove(callId);
+        Endpoint endpoint = pendingCalls.remove(callId);
         if (endpoint == null
                 || answer == null
                 || !(answer.message() instanceof Message.StateTransfer transfer)) {
             return;
         }
-        List<MemberState> news = newsFor(transfer);
+        List<MemberState> news = statesMissingFrom(transfer);
         updates.applyAll(transfer.updates(), MemberUpdates.Source.STATE_TRANSFER);
         joined = true;
         if (!news.isEmpty()) {
@@ -248,7 +248,7 @@
     }
 
     /** What this member holds in the partitions of a transfer and its sender does not. */
-    private List<MemberState> newsFor(Message.StateTransfer transfer) {
+    private List<MemberState> statesMissingFrom(Message.StateTransfer transfer) {
         Map<MemberId, MemberState> theirs = new HashMap<>();
         transfer.updates().forEach(state -> theirs.put(state.id(), state));
         List<MemberState> news = new ArrayList<>();
--- a/src/main/java/cairnbridge/fleet/membership/FailureDetector.java
+++ b/src/main/java/cairnbridge/fleet/membership/FailureDetector.java
@@ -20,7 +20,7 @@
  */
 final class FailureDetector {
     /** A member is told at most this often what is said about it. */
-    static final long NOTIFY_INTERVAL = Ticks.SECOND / 2;
+    static final long MIN_NOTIFY_INTERVAL = Ticks.SECOND / 2;
 
     /** A challenge carries this many updates beside the statement. */
     private static final int UPDATES_WITH_CHALLENGE = 4;
@@ -29,7 +29,7 @@
     private static final class Probe {
         final MemberId target;
         final Incarnation incarnation;
-        int requestsSent;
+        int pingRequestsSent;
         int nacks;
 
         Probe(MemberRecord target) {
@@ -46,7 +46,7 @@
             if (nacks == 0) {
                 return 1;
             }
-            return nacks == requestsSent ? -1 : 0;
+            return nacks == pingRequestsSent ? -1 : 0;
         }
     }
 
@@ -70,7 +70,7 @@
     }
 
     /** Connects the two parts that need one another; before the start. */
-    void reportTo(SuspicionTracker tracker) {
+    void setSuspicionTracker(SuspicionTracker tracker) {
         suspicions = tracker;
     }
 
@@ -101,7 +101,7 @@
 
     /** Probes a member out of turn unless that was done lately, and tells it what is said of it. */
     void challengeIfDue(MemberRecord target, MemberState statement) {
-        if (target.mayNotify(context.now(), NOTIFY_INTERVAL)) {
+        if (target.mayNotify(context.now(), MIN_NOTIFY_INTERVAL)) {
             context.counters.challenges++;
             challenge(target, statement.withoutMetadata());
         }
@@ -141,7 +141,7 @@
         }
         Endpoint endpoint = target.state.endpoint();
         for (MemberRecord relay : relaysFor(target)) {
-            probe.requestsSent++;
+            probe.pingRequestsSent++;
             context.host.send(
                     relay.state.endpoint(),
                     context.packet(
@@ -167,7 +167,7 @@
      */
     private List<MemberRecord> relaysFor(MemberRecord target) {
         Comparator<MemberRecord> lastHeardFirst =
-                Comparator.comparingLong((MemberRecord member) -> member.heardAt).reversed();
+                Comparator.comparingLong((MemberRecord member) -> member.lastHeardAt).reversed();
         return context.table.live().stream()
                 .filter(member -> member != target)
                 .sorted(lastHeardFirst.thenComparing(member -> member.id))
--- a/src/main/java/cairnbridge/fleet/membership/GossipDissemination.java
+++ b/src/main/java/cairnbridge/fleet/membership/GossipDissemination.java
@@ -41,7 +41,7 @@
         List<MemberRecord> dead = context.table.dead();
         if (!dead.isEmpty()) {
             MemberRecord candidate = dead.get(context.random.nextInt(dead.size()));
-            if (context.now() - candidate.changedAt < RECENTLY_DEAD) {
+            if (context.now() - candidate.statusChangedAt < RECENTLY_DEAD) {
                 receivers.add(candidate);
             }
         }
--- a/src/main/java/cairnbridge/fleet/membership/JoinProcedure.java
+++ b/src/main/java/cairnbridge/fleet/membership/JoinProcedure.java
@@ -51,9 +51,9 @@
     void start() {
         antiEntropy.start(seeds.isEmpty() && remembered.isEmpty());
         join();
-        antiEntropy.startIntervals();
+        antiEntropy.startPeriodicComparisons();
         scheduleSeedCheck(FIRST_SEED_CHECK);
-        antiEntropy.startNewcomerComparisons();
+        antiEntropy.startJoinComparisons();
     }
 
     /** Calls one contact after another; at random times, as a fleet may start all at once. */
--- a/src/main/java/cairnbridge/fleet/membership/LocalMember.java
+++ b/src/main/java/cairnbridge/fleet/membership/LocalMember.java
@@ -11,11 +11,11 @@
 /** What this member states about itself, and how it answers what others state about it. */
 final class LocalMember {
     /** After this many statements about another endpoint a second process is suspected. */
-    private static final int CLASHES_BEFORE_WARNING = 5;
+    private static final int CONFLICTS_BEFORE_WARNING = 5;
 
     private final SwimContext context;
     private MemberState state;
-    private int clashes;
+    private int nameConflicts;
 
     LocalMember(MemberState state, SwimContext context) {
         this.state = state;
@@ -67,7 +67,7 @@
         if (hasLeft() || !contradicts(statement)) {
             return;
         }
-        warnOfSecondProcess(statement);
+        warnOfNameConflict(statement);
         Incarnation refuting = state.incarnation().superseding(statement.incarnation());
         state = state.withStatus(refuting, MemberStatus.ALIVE, null);
         context.counters.refutations++;
@@ -80,13 +80,13 @@
         return statement.status() == MemberStatus.ALIVE ? order > 0 : order >= 0;
     }
 
-    private void warnOfSecondProcess(MemberState statement) {
+    private void warnOfNameConflict(MemberState statement) {
         boolean clash =
                 statement.status() == MemberStatus.ALIVE
                         && !statement.endpoint().equals(state.endpoint());
-        if (clash && clashes < CLASHES_BEFORE_WARNING) {
-            clashes++;
-            if (clashes == CLASHES_BEFORE_WARNING) {
+        if (clash && nameConflicts < CONFLICTS_BEFORE_WARNING) {
+            nameConflicts++;
+            if (nameConflicts == CONFLICTS_BEFORE_WARNING) {
                 context.host.log(
                         "another process, at "
                                 + statement.endpoint()
--- a/src/main/java/cairnbridge/fleet/membership/MemberExpiry.java
+++ b/src/main/java/cairnbridge/fleet/membership/MemberExpiry.java
@@ -7,7 +7,7 @@
 /** Forgets members that have been dead, or have left, for long. */
 final class MemberExpiry {
     /** The retention is checked this many times within itself. */
-    private static final int CHECKS = 4;
+    private static final int CHECKS_PER_RETENTION = 4;
 
     private final SwimContext context;
 
@@ -16,13 +16,13 @@
     }
 
     void start() {
-        context.schedule(context.settings.leftRetention() / CHECKS, this::expire);
+        context.schedule(context.settings.leftRetention() / CHECKS_PER_RETENTION, this::expire);
     }
 
     private void expire() {
         SwimSettings settings = context.settings;
         long shorter = Math.min(settings.deadRetention(), settings.leftRetention());
-        context.schedule(shorter / CHECKS + 1, this::expire);
+        context.schedule(shorter / CHECKS_PER_RETENTION + 1, this::expire);
         for (MemberRecord member : List.copyOf(context.table.all())) {
             if (!member.isLive()) {
                 expire(member);
@@ -34,7 +34,7 @@
     private void expire(MemberRecord member) {
         boolean dead = member.state.status() == MemberStatus.DEAD;
         long retention = dead ? context.settings.deadRetention() : context.settings.leftRetention();
-        long age = context.now() - member.changedAt;
+        long age = context.now() - member.statusChangedAt;
         if (age >= retention) {
             context.table.remove(member);
             context.gossipQueue.remove(member.id);
--- a/src/main/java/cairnbridge/fleet/membership/MemberRecord.java
+++ b/src/main/java/cairnbridge/fleet/membership/MemberRecord.java
@@ -13,14 +13,14 @@
     private static final int NOT_LISTED = -1;
 
     /** What few members have at a time. */
-    private static final class Trouble {
+    private static final class TransientState {
         private Suspicion suspicion;
         private long notifiedAt = NEVER;
     }
 
     final MemberId id;
     MemberState state;
-    private Trouble trouble;
+    private TransientState transientState;
 
     /** The index in the table's list of live or of dead members. */
     int listIndex = NOT_LISTED;
@@ -29,14 +29,14 @@
     boolean inDigest;
 
     /** When its status changed here, and when it was last heard itself. */
-    long changedAt;
+    long statusChangedAt;
 
-    long heardAt = NEVER;
+    long lastHeardAt = NEVER;
 
     MemberRecord(MemberState state, long now) {
         this.id = state.id();
         this.state = state;
-        this.changedAt = now;
+        this.statusChangedAt = now;
     }
 
     boolean isLive() {
@@ -45,30 +45,30 @@
 
     /** The suspicion that it is under, if any. */
     Optional<Suspicion> suspicion() {
-        return trouble == null ? Optional.empty() : Optional.ofNullable(trouble.suspicion);
+        return transientState == null ? Optional.empty() : Optional.ofNullable(transientState.suspicion);
     }
 
     /** Whether it is under this very suspicion. */
-    boolean isUnder(Suspicion suspicion) {
-        return trouble != null && trouble.suspicion == suspicion;
+    boolean hasSuspicion(Suspicion suspicion) {
+        return transientState != null && transientState.suspicion == suspicion;
     }
 
     void suspect(Suspicion suspicion) {
-        trouble().suspicion = suspicion;
+        transientState().suspicion = suspicion;
     }
 
     void clearSuspicion() {
-        if (trouble != null) {
-            trouble.suspicion = null;
+        if (transientState != null) {
+            transientState.suspicion = null;
         }
     }
 
     /** The member was not heard in its present run. */
-    void forgetHeard() {
-        heardAt = NEVER;
+    void clearLastHeard() {
+        lastHeardAt = NEVER;
     }
 
-    void unlist() {
+    void clearListIndex() {
         listIndex = NOT_LISTED;
     }
 
@@ -77,17 +77,17 @@
      * interval.
      */
     boolean mayNotify(long now, long interval) {
-        if (now - trouble().notifiedAt < interval) {
+        if (now - transientState().notifiedAt < interval) {
             return false;
         }
-        trouble.notifiedAt = now;
+        transientState.notifiedAt = now;
         return true;
     }
 
-    private Trouble trouble() {
-        if (trouble == null) {
-            trouble = new Trouble();
+    private TransientState transientState() {
+        if (transientState == null) {
+            transientState = new TransientState();
         }
-        return trouble;
+        return transientState;
     }
 }
--- a/src/main/java/cairnbridge/fleet/membership/MemberTable.java
+++ b/src/main/java/cairnbridge/fleet/membership/MemberTable.java
@@ -59,31 +59,31 @@
 
     /** Adds a member; empty if the table is full of live members. */
     Optional<MemberRecord> add(MemberState state, long now) {
-        if (records.size() >= maxMembers && !removeOldestGone()) {
+        if (records.size() >= maxMembers && !evictOldestDeadOrLeft()) {
             return Optional.empty();
         }
         MemberRecord record = new MemberRecord(state, now);
         records.put(record.id, record);
-        list(record);
+        addToList(record);
         addToDigest(record);
         return Optional.of(record);
     }
 
     /** Guards against a table that grows with every name there ever was. */
-    private boolean removeOldestGone() {
+    private boolean evictOldestDeadOrLeft() {
         Comparator<MemberRecord> leftFirst =
                 Comparator.comparing(record -> record.state.status() != MemberStatus.LEFT);
         Optional<MemberRecord> oldest =
                 records.values().stream()
                         .filter(record -> !record.isLive())
-                        .min(leftFirst.thenComparingLong(record -> record.changedAt));
+                        .min(leftFirst.thenComparingLong(record -> record.statusChangedAt));
         oldest.ifPresent(this::remove);
         return oldest.isPresent();
     }
 
     void remove(MemberRecord record) {
         removeFromDigest(record);
-        unlist(record);
+        removeFromList(record);
         records.remove(record.id);
     }
 
@@ -95,14 +95,14 @@
         removeFromDigest(record);
         boolean changesList = listFor(before) != listFor(state.status());
         if (changesList) {
-            unlist(record);
+            removeFromList(record);
         }
         record.state = state;
         if (changesList) {
-            list(record);
+            addToList(record);
         }
         if (before != state.status()) {
-            record.changedAt = now;
+            record.statusChangedAt = now;
         }
         addToDigest(record);
     }
@@ -116,7 +116,7 @@
         };
     }
 
-    private void list(MemberRecord record) {
+    private void addToList(MemberRecord record) {
         List<MemberRecord> list = listFor(record.state.status());
         if (list != null) {
             record.listIndex = list.size();
@@ -125,7 +125,7 @@
     }
 
     /** The last entry takes the place of the one that is removed. */
-    private void unlist(MemberRecord record) {
+    private void removeFromList(MemberRecord record) {
         List<MemberRecord> list = listFor(record.state.status());
         if (list == null) {
             return;
@@ -135,7 +135,7 @@
             list.set(record.listIndex, last);
             last.listIndex = record.listIndex;
         }
-        record.unlist();
+        record.clearListIndex();
     }
 
     /** Live members chosen at random, all different; fewer if there are not as many. */
--- a/src/main/java/cairnbridge/fleet/membership/MemberUpdates.java
+++ b/src/main/java/cairnbridge/fleet/membership/MemberUpdates.java
@@ -99,7 +99,7 @@
 
     private boolean isDoubtful(MemberRecord member, MemberState statement, Source source) {
         boolean sameRun = statement.incarnation().isSameGeneration(member.state.incarnation());
-        boolean heardLately = context.now() - member.heardAt < suspicions.minTimeout() / 2;
+        boolean heardLately = context.now() - member.lastHeardAt < suspicions.minTimeout() / 2;
         return sameRun && (source == Source.STATE_TRANSFER || heardLately);
     }
 
@@ -112,7 +112,7 @@
         context.table.update(member, after, context.now());
         context.gossipQueue.addStatus(after);
         context.counters.leaves++;
-        context.markChanged();
+        context.markStatusChanged();
         context.host.memberChanged(before, after, StatusChangeReason.LEFT);
     }
 
@@ -129,7 +129,7 @@
         boolean gone = !statement.status().isLive();
         // Guards against dead members that are passed on for ever, as members forget them at
         // different times.
-        if (gone && antiEntropy.runningFor() > context.settings.deadRetention() / 2) {
+        if (gone && antiEntropy.uptime() > context.settings.deadRetention() / 2) {
             return Optional.empty();
         }
         boolean suspect = statement.status() == MemberStatus.SUSPECT;
@@ -140,7 +140,7 @@
             return added;
         }
         if (!gone) {
-            welcome(added.get());
+            memberJoined(added.get());
         }
         if (suspect) {
             suspicions.suspect(added.get(), statement);
@@ -148,9 +148,9 @@
         return added;
     }
 
-    private void welcome(MemberRecord member) {
+    private void memberJoined(MemberRecord member) {
         context.counters.joins++;
-        context.markChanged();
+        context.markStatusChanged();
         failureDetector.memberJoined(member);
         if (antiEntropy.hasJoined()) {
             // What a newcomer learns is no news to anybody else.
@@ -166,9 +166,9 @@
         MemberState after = aliveState(before, statement);
         member.clearSuspicion();
         if (!sameRun) {
-            member.forgetHeard();
+            member.clearLastHeard();
             if (source == Source.MEMBER) {
-                member.heardAt = context.now();
+                member.lastHeardAt = context.now();
             }
         }
         context.table.update(member, after, context.now());
@@ -176,7 +176,7 @@
         if (!before.status().isLive()) {
             memberReturned(member, before, sameRun);
         } else if (!sameRun || before.status() != MemberStatus.ALIVE) {
-            context.markChanged();
+            context.markStatusChanged();
             context.host.memberChanged(
                     before,
                     after,
@@ -200,7 +200,7 @@
     }
 
     private void memberReturned(MemberRecord member, MemberState before, boolean sameRun) {
-        context.markChanged();
+        context.markStatusChanged();
         failureDetector.memberJoined(member);
         if (!sameRun) {
             context.counters.joins++;
--- a/src/main/java/cairnbridge/fleet/membership/MessageHandler.java
+++ b/src/main/java/cairnbridge/fleet/membership/MessageHandler.java
@@ -92,7 +92,7 @@
     }
 
     private void heard(MemberRecord member, Endpoint endpoint) {
-        member.heardAt = context.now();
+        member.lastHeardAt = context.now();
         if (member.state.status() == MemberStatus.DEAD) {
             notify(member, endpoint);
         }
@@ -106,7 +106,7 @@
     }
 
     private boolean mayNotify(MemberRecord member) {
-        return member.mayNotify(context.now(), FailureDetector.NOTIFY_INTERVAL);
+        return member.mayNotify(context.now(), FailureDetector.MIN_NOTIFY_INTERVAL);
     }
 
     private void sendGossip(Endpoint endpoint, List<MemberState> statements) {
--- a/src/main/java/cairnbridge/fleet/membership/MetadataAnnouncer.java
+++ b/src/main/java/cairnbridge/fleet/membership/MetadataAnnouncer.java
@@ -17,13 +17,13 @@
     private final SwimContext context;
 
     /** What the member wants to announce; null before it is first set. */
-    private MemberMetadata wanted;
+    private MemberMetadata desired;
 
     private long announcedAt;
     private long scheduledAt = NOT_SCHEDULED;
 
     /** The unreachable zones for which this member has drawn whether it announces urgently. */
-    private List<Long> drawnFor = List.of();
+    private List<Long> drawnZones = List.of();
 
     private boolean urgent;
 
@@ -33,7 +33,7 @@
 
     /** Sets what others are to know from now on. */
     void announce(MemberMetadata metadata) {
-        wanted = metadata;
+        desired = metadata;
         announceWhenDue();
     }
 
@@ -43,10 +43,10 @@
      */
     private void announceWhenDue() {
         MemberMetadata announced = context.self.state().metadata();
-        if (context.self.hasLeft() || wanted.equals(announced)) {
+        if (context.self.hasLeft() || desired.equals(announced)) {
             return;
         }
-        boolean metricsOnly = announced != null && differsInMetricsOnly(wanted, announced);
+        boolean metricsOnly = announced != null && differsInMetricsOnly(desired, announced);
         long due = metricsOnly ? announcedAt + interval(announced) : context.now();
         if (due > context.now()) {
             schedule(due);
@@ -54,9 +54,9 @@
         }
         announcedAt = context.now();
         if (metricsOnly) {
-            context.self.announceMetrics(wanted);
+            context.self.announceMetrics(desired);
         } else {
-            context.self.announce(wanted);
+            context.self.announce(desired);
         }
     }
 
@@ -89,12 +89,12 @@
      * enough of them to outweigh what others announced a moment ago.
      */
     private boolean isUrgent(MemberMetadata announced) {
-        List<Long> zones = wanted.metrics().reachability().unreachableZones();
+        List<Long> zones = desired.metrics().reachability().unreachableZones();
         if (zones.equals(announced.metrics().reachability().unreachableZones())) {
             return false;
         }
-        if (!zones.equals(drawnFor)) {
-            drawnFor = zones;
+        if (!zones.equals(drawnZones)) {
+            drawnZones = zones;
             double draw = context.random.nextDouble() * context.liveCountWithSelf();
             urgent = draw < URGENT_ANNOUNCERS;
         }
--- a/src/main/java/cairnbridge/fleet/membership/Suspicion.java
+++ b/src/main/java/cairnbridge/fleet/membership/Suspicion.java
@@ -12,9 +12,9 @@
     /** How long a suspicion lasts with all confirmations and with none. */
     record Timeouts(long min, long max) {}
 
-    private final long since;
+    private final long startedAt;
     private final Timeouts timeouts;
-    private final int wantedConfirmations;
+    private final int expectedConfirmations;
     private final Set<MemberId> reporters = new HashSet<>();
     private long pausedFor;
 
@@ -25,15 +25,15 @@
      * @param reporter who suspects the member first
      */
     Suspicion(long now, Timeouts timeouts, int wantedConfirmations, MemberId reporter) {
-        this.since = now;
+        this.startedAt = now;
         this.timeouts = timeouts;
-        this.wantedConfirmations = wantedConfirmations;
+        this.expectedConfirmations = wantedConfirmations;
         reporters.add(reporter);
     }
 
     /** Adds a reporter; true if it is a new one and shortens the timeout. */
     boolean confirm(MemberId reporter) {
-        return reporters.size() <= wantedConfirmations && reporters.add(reporter);
+        return reporters.size() <= expectedConfirmations && reporters.add(reporter);
     }
 
     /** Guards against deaths by a clock that ran while this member could hear nobody. */
@@ -44,10 +44,10 @@
     /** When the member is to be declared dead. */
     long due() {
         double confirmed =
-                wantedConfirmations < 1
+                expectedConfirmations < 1
                         ? 1
-                        : Math.log(reporters.size()) / Math.log(wantedConfirmations + 1);
+                        : Math.log(reporters.size()) / Math.log(expectedConfirmations + 1);
         long shortened = (long) (timeouts.max - (timeouts.max - timeouts.min) * confirmed);
-        return since + pausedFor + Math.max(timeouts.min, shortened);
+        return startedAt + pausedFor + Math.max(timeouts.min, shortened);
     }
 }
--- a/src/main/java/cairnbridge/fleet/membership/SuspicionTracker.java
+++ b/src/main/java/cairnbridge/fleet/membership/SuspicionTracker.java
@@ -9,7 +9,7 @@
 /** Members under suspicion, from the first report until they refute it or are declared dead. */
 final class SuspicionTracker {
     /** On average this many of the members that hear of a suspicion probe the suspect at once. */
-    private static final int SECOND_OPINIONS = 5;
+    private static final int CONFIRMING_MEMBERS = 5;
 
     /** This many further reporters bring the timeout of a suspicion down to its minimum. */
     private static final int MAX_CONFIRMATIONS = 3;
@@ -20,13 +20,13 @@
     /** ... by this factor, and for this long at most. */
     private static final int FAST_PROBE_FACTOR = 3;
 
-    private static final long MAX_FAST_PROBING = 5 * Ticks.SECOND;
+    private static final long MAX_FAST_PROBING_TIME = 5 * Ticks.SECOND;
     private static final long NEVER = Long.MIN_VALUE / 2;
 
     private final SwimContext context;
     private final FailureDetector failureDetector;
     private long lastSuspicionAt = NEVER;
-    private long troubleSince;
+    private long suspicionsSince;
 
     SuspicionTracker(SwimContext context, FailureDetector failureDetector) {
         this.context = context;
@@ -40,7 +40,7 @@
      */
     long probeInterval() {
         long interval = context.settings.probeInterval();
-        boolean fast = wasSuspicionRecent() && context.now() - troubleSince < MAX_FAST_PROBING;
+        boolean fast = wasSuspicionRecent() && context.now() - suspicionsSince < MAX_FAST_PROBING_TIME;
         return fast ? interval / FAST_PROBE_FACTOR : interval;
     }
 
@@ -67,7 +67,7 @@
             return;
         }
         context.counters.suspicions++;
-        context.markChanged();
+        context.markStatusChanged();
         Suspicion suspicion = newSuspicion(reporter);
         member.suspect(suspicion);
         MemberState after = before.withStatus(report.incarnation(), MemberStatus.SUSPECT, reporter);
@@ -75,9 +75,9 @@
         context.gossipQueue.addStatus(after.withoutMetadata());
         context.host.memberChanged(before, after, StatusChangeReason.PROBE_FAILED);
         scheduleDeath(member, suspicion);
-        context.schedule(minTimeout() / 2, () -> askToRefute(member, suspicion));
-        noteTrouble();
-        seekSecondOpinion(member, after, reporter);
+        context.schedule(minTimeout() / 2, () -> requestRefutation(member, suspicion));
+        recordSuspicionTime();
+        probeToConfirm(member, after, reporter);
     }
 
     private Suspicion newSuspicion(MemberId reporter) {
@@ -95,16 +95,16 @@
         }
     }
 
-    private void noteTrouble() {
+    private void recordSuspicionTime() {
         if (!wasSuspicionRecent()) {
-            troubleSince = context.now();
+            suspicionsSince = context.now();
         }
         lastSuspicionAt = context.now();
     }
 
-    private void seekSecondOpinion(MemberRecord member, MemberState state, MemberId reporter) {
+    private void probeToConfirm(MemberRecord member, MemberState state, MemberId reporter) {
         if (!reporter.equals(context.self.id())
-                && context.random.nextDouble() * context.liveCountWithSelf() < SECOND_OPINIONS) {
+                && context.random.nextDouble() * context.liveCountWithSelf() < CONFIRMING_MEMBERS) {
             failureDetector.challenge(member, state.withoutMetadata());
         }
     }
@@ -114,11 +114,11 @@
      * where a tenth of all datagrams is lost. Who holds a suspect for long asks it, again and
      * again, until its time is up.
      */
-    private void askToRefute(MemberRecord member, Suspicion suspicion) {
-        if (member.isUnder(suspicion) && !context.self.hasLeft()) {
+    private void requestRefutation(MemberRecord member, Suspicion suspicion) {
+        if (member.hasSuspicion(suspicion) && !context.self.hasLeft()) {
             failureDetector.pingWithStatus(member);
             context.schedule(
-                    context.settings.probeInterval(), () -> askToRefute(member, suspicion));
+                    context.settings.probeInterval(), () -> requestRefutation(member, suspicion));
         }
     }
 
@@ -126,7 +126,7 @@
         context.timers.schedule(
                 suspicion.due(),
                 () -> {
-                    if (member.isUnder(suspicion) && context.now() >= suspicion.due()) {
+                    if (member.hasSuspicion(suspicion) && context.now() >= suspicion.due()) {
                         MemberState dead =
                                 member.state.withStatus(MemberStatus.DEAD, context.self.id());
                         declareDead(member, dead, StatusChangeReason.SUSPICION_TIMEOUT);
@@ -148,7 +148,7 @@
         context.gossipQueue.addStatus(after.withoutMetadata());
         if (before.status().isLive()) {
             context.counters.deaths++;
-            context.markChanged();
+            context.markStatusChanged();
             context.host.memberChanged(before, after, reason);
         }
     }
--- a/src/main/java/cairnbridge/fleet/membership/SwimContext.java
+++ b/src/main/java/cairnbridge/fleet/membership/SwimContext.java
@@ -20,7 +20,7 @@
     final MembershipCounters counters = new MembershipCounters();
     final LocalMember self;
     private long now;
-    private long changedAt;
+    private long statusChangedAt;
 
     SwimContext(SwimSettings settings, MemberState self, long seed, long now, MembershipHost host) {
         this.settings = settings;
@@ -51,13 +51,13 @@
     }
 
     /** Notes that the status of some member has changed now. */
-    void markChanged() {
-        changedAt = now;
+    void markStatusChanged() {
+        statusChangedAt = now;
     }
 
     /** For how long no member's status has changed. */
     long stableFor() {
-        return now - changedAt;
+        return now - statusChangedAt;
     }
 
     /** How many members are live, this one included unless it has left. */
@@ -84,20 +84,20 @@
         return receiver == null || receiver.state.status() == MemberStatus.ALIVE
                 ? pendingUpdates()
                 : gossipQueue.take(
-                        receiver.state.withoutMetadata(), updateBytes(), transmissions());
+                        receiver.state.withoutMetadata(), maxUpdateBytes(), maxTransmissions());
     }
 
     /** As many pending updates as fit into a message. */
     List<MemberState> pendingUpdates() {
-        return gossipQueue.take(updateBytes(), transmissions());
+        return gossipQueue.take(maxUpdateBytes(), maxTransmissions());
     }
 
-    private int updateBytes() {
+    private int maxUpdateBytes() {
         return settings.maxDatagramBytes() - Packet.MAX_HEADER_BYTES;
     }
 
     /** How often each update is sent. */
-    private int transmissions() {
+    private int maxTransmissions() {
         int digits = (int) Math.ceil(Math.log10(liveCountWithSelf() + 1.0));
         return settings.retransmitMultiplier() * digits;
     }
--- a/src/main/java/cairnbridge/fleet/membership/SwimProtocol.java
+++ b/src/main/java/cairnbridge/fleet/membership/SwimProtocol.java
@@ -29,7 +29,7 @@
     private final JoinProcedure joinProcedure;
     private final MessageHandler messageHandler;
     private final MetadataAnnouncer announcer;
-    private long calledAt;
+    private long lastCalledAt;
     private boolean started;
 
     /**
@@ -64,8 +64,8 @@
         antiEntropy = new AntiEntropy(context);
         MemberUpdates updates =
                 new MemberUpdates(context, suspicions, failureDetector, antiEntropy);
-        failureDetector.reportTo(suspicions);
-        antiEntropy.applyTo(updates);
+        failureDetector.setSuspicionTracker(suspicions);
+        antiEntropy.setMemberUpdates(updates);
         joinProcedure =
                 new JoinProcedure(context, antiEntropy, contacts.seeds(), contacts.remembered());
         messageHandler = new MessageHandler(context, updates, failureDetector, antiEntropy);
@@ -75,8 +75,8 @@
     /** Begins to look for other members. */
     public void start(long now) {
         context.advanceTo(now);
-        calledAt = context.now();
-        context.markChanged();
+        lastCalledAt = context.now();
+        context.markStatusChanged();
         started = true;
         new GossipDissemination(context).start();
         new MemberExpiry(context).start();
@@ -113,7 +113,7 @@
     public void fireTimers(long now) {
         advanceTo(now);
         while (context.timers.runNext(context.now())) {
-            calledAt = context.now();
+            lastCalledAt = context.now();
         }
     }
 
@@ -125,8 +125,8 @@
     /** Guards against a resumed process that takes its own silence for everybody's death. */
     private void advanceTo(long now) {
         context.advanceTo(now);
-        long pause = context.now() - calledAt;
-        calledAt = context.now();
+        long pause = context.now() - lastCalledAt;
+        lastCalledAt = context.now();
         boolean timersMissed = context.timers.nextDue() < context.now();
         if (started && pause > PAUSE_INTERVALS * context.settings.probeInterval() && timersMissed) {
             resumeAfter(pause);
--- a/src/main/java/cairnbridge/fleet/membership/TimerQueue.java
+++ b/src/main/java/cairnbridge/fleet/membership/TimerQueue.java
@@ -6,19 +6,19 @@
  * Actions that are due later, ordered by their time, then by the order in which they were added.
  */
 final class TimerQueue {
-    private record Timer(long due, long rank, Runnable action) implements Comparable<Timer> {
+    private record Timer(long due, long sequence, Runnable action) implements Comparable<Timer> {
         @Override
         public int compareTo(Timer other) {
-            return due != other.due ? Long.compare(due, other.due) : Long.compare(rank, other.rank);
+            return due != other.due ? Long.compare(due, other.due) : Long.compare(sequence, other.sequence);
         }
     }
 
     private final PriorityQueue<Timer> queue = new PriorityQueue<>();
-    private long nextRank;
+    private long lastSequence;
 
     /** Adds an action. */
     void schedule(long due, Runnable action) {
-        queue.add(new Timer(due, ++nextRank, action));
+        queue.add(new Timer(due, ++lastSequence, action));
     }
 
     /** When the next action is due; {@code Long.MAX_VALUE} if there is none. */
--- a/src/test/java/cairnbridge/fleet/coordination/CoordinationTest.java
+++ b/src/test/java/cairnbridge/fleet/coordination/CoordinationTest.java
@@ -74,7 +74,7 @@
         return view;
     }
 
-    private static int after(LiveProxyCount count, MembershipView view, long from, int seconds) {
+    private static int lastCount(LiveProxyCount count, MembershipView view, long from, int seconds) {
         int last = 0;
         for (long now = from; now <= from + seconds * SECOND; now += SECOND / 2) {
             last = count.update(view, now);
@@ -83,28 +83,28 @@
     }
 
     @Test
-    void sharesFollowTheLivingQuicklyUpAndSlowlyDown() {
+    void proxyCountRisesQuicklyAndFallsSlowly() {
         LiveProxyCount count = new LiveProxyCount(10, 0);
         assertEquals(10, count.update(members(1, 10, "a").view(), 0));
         assertEquals(
                 30,
-                after(count, members(1, 30, "a").view(), 0, 8),
+                lastCount(count, members(1, 30, "a").view(), 0, 8),
                 "a fleet that has grown beyond its size");
         MembershipView fewer = members(1, 12, "a").view();
-        int soon = after(count, fewer, 8 * SECOND, 1);
+        int soon = lastCount(count, fewer, 8 * SECOND, 1);
         assertTrue(soon > 25, soon + " a second after the deaths");
-        assertEquals(12, after(count, fewer, 9 * SECOND, 40));
+        assertEquals(12, lastCount(count, fewer, 9 * SECOND, 40));
     }
 
     /** Guards against two halves that each take all. */
     @Test
-    void aPartWithoutAMajorityTakesNoMoreThanTwiceItsShare() {
+    void minorityPartitionCountsAtLeastHalfTheConfiguredProxies() {
         LiveProxyCount count = new LiveProxyCount(20, 0);
-        assertEquals(10, after(count, members(1, 2, "a").view(), 0, 60));
+        assertEquals(10, lastCount(count, members(1, 2, "a").view(), 0, 60));
     }
 
     @Test
-    void aNodeThatMostOfAZoneCannotReachIsSaidOnce() {
+    void nodeUnreachableForMostOfAZoneIsReportedOnce() {
         NodeSuspicions hints = new NodeSuspicions("a");
         member(1, "a", MemberStatus.ALIVE, false, 7L)
                 .member(2, "a", MemberStatus.ALIVE, false, 7L, 8L)
@@ -125,14 +125,14 @@
     }
 
     @Test
-    void twoMembersAreNoMajorityOfAnything() {
+    void twoMembersAreTooFewToSuspectANode() {
         NodeSuspicions hints = new NodeSuspicions("a");
         member(1, "a", MemberStatus.ALIVE, false, 7L).member(2, "a", MemberStatus.ALIVE, false, 7L);
         assertEquals(List.of(), hints.newSuspicions(view()));
     }
 
     @Test
-    void whatCannotBeReachedIsToldAfterTwoFailuresUntilItSaysAWordOrThatIsLongAgo() {
+    void nodeIsUnreachableAfterTwoFailuresUntilASuccessOrExpiry() {
         ReachabilityReport reach = new ReachabilityReport(2);
         reach.record(1, false, 0);
         reach.record(2, false, 0);
@@ -169,7 +169,7 @@
      * out, and against one that is given its traffic back because nobody has tried it for a while.
      */
     @Test
-    void aZoneOfManyCachesIsOutAfterFourFailuresAndStaysSoWhileItsProbesFail() {
+    void zoneIsUnreachableAfterFourFailuresWhileItsProbesFail() {
         Settings settings =
                 SettingsReader.read(
                         JsonObject.parse(
@@ -228,7 +228,7 @@
     }
 
     @Test
-    void eachDutyHasOneOwnerAndOnlyThoseOfTheDeadMove() {
+    void eachTaskHasOneOwnerAndOnlyTasksOfDeadMembersMove() {
         MembershipView before = members(1, 12, "a").view();
         MembershipView after = members(2, 12, "a").member(1, "a", MemberStatus.DEAD, false).view();
         Map<MemberId, Integer> shares = new TreeMap<>();
@@ -250,7 +250,7 @@
      * often as planned.
      */
     @Test
-    void whileViewsDifferNoNodeIsProbedMoreThanTwiceAsOftenAndNoneIsForgotten() {
+    void differingViewsAtMostDoubleTheProbeRateAndSkipNoNode() {
         List<Long> nodes = LongStream.range(0, 30).boxed().toList();
         MembershipView all = members(1, 8, "a").view();
         MembershipView cut = members(1, 4, "a").view();
@@ -278,7 +278,7 @@
     }
 
     @Test
-    void aFewCallForALostListAndTheOthersOnceOneOfThemHasIt() {
+    void fewMembersPollDiscoveryUntilOneInTheZoneReceivesTheList() {
         MembershipView away = members(1, 20, "a").view();
         long callers =
                 LongStream.rangeClosed(1, 20)
--- a/src/test/java/cairnbridge/fleet/coordination/TaskAssignmentPropertyTest.java
+++ b/src/test/java/cairnbridge/fleet/coordination/TaskAssignmentPropertyTest.java
@@ -23,29 +23,29 @@
  * -Dduties.courses=N plays more of them.
  */
 class TaskAssignmentPropertyTest {
-    private static final int COURSES = Integer.getInteger("duties.courses", 300);
-    private static final long FIRST = Long.getLong("duties.seed", 1);
-    private static final int STEPS = 60;
-    private static final long EVERY = 20_000;
+    private static final int RUNS = Integer.getInteger("duties.courses", 300);
+    private static final long FIRST_SEED = Long.getLong("duties.seed", 1);
+    private static final int STEPS_PER_RUN = 60;
+    private static final long INTERVAL = 20_000;
 
     /** The first four, one of them this member, have the same hash: equal weights are met. */
     private static final List<String> NAMES =
             List.of("AaAa", "AaBB", "BBAa", "BBBB", "p0", "p1", "p2", "p3", "p4", "p5", "p6");
 
-    private int dueInAll;
+    private int totalDue;
 
     /** The definition: all members are weighed for every node, in every call. */
-    private static final class PlainDuties {
-        private final Map<Long, Long> probedAt = new HashMap<>();
+    private static final class ReferenceAssignment {
+        private final Map<Long, Long> doneAt = new HashMap<>();
 
-        List<Long> due(MembershipView view, List<Long> nodes, long now) {
-            probedAt.keySet().retainAll(nodes);
+        List<Long> dueTasks(MembershipView view, List<Long> nodes, long now) {
+            doneAt.keySet().retainAll(nodes);
             List<Long> due = new ArrayList<>();
             for (long node : nodes) {
                 if (!TaskFleet.SELF.equals(owner(view, node))) {
-                    probedAt.remove(node);
-                } else if (now - probedAt.computeIfAbsent(node, id -> now) >= EVERY) {
-                    probedAt.put(node, now);
+                    doneAt.remove(node);
+                } else if (now - doneAt.computeIfAbsent(node, id -> now) >= INTERVAL) {
+                    doneAt.put(node, now);
                     due.add(node);
                 }
             }
@@ -54,7 +54,7 @@
 
         private static MemberId owner(MembershipView view, long node) {
             return view.members().stream()
-                    .filter(PlainDuties::canTakeDuties)
+                    .filter(ReferenceAssignment::isEligible)
                     .map(MemberState::id)
                     .min(
                             Comparator.comparing(
@@ -65,7 +65,7 @@
                     .orElse(null);
         }
 
-        private static boolean canTakeDuties(MemberState claim) {
+        private static boolean isEligible(MemberState claim) {
             return claim.status().isLive()
                     && claim.metadata() != null
                     && claim.metadata().zone().equals(TaskFleet.ZONE)
@@ -75,23 +75,23 @@
     }
 
     @Test
-    void anySequenceOfViewsAndNodesGivesWhatThePlainDefinitionGives() {
-        for (long seed = FIRST; seed < FIRST + COURSES; seed++) {
-            play(seed);
+    void dueTasksMatchTheReferenceForRandomViewsAndTasks() {
+        for (long seed = FIRST_SEED; seed < FIRST_SEED + RUNS; seed++) {
+            run(seed);
         }
-        assertTrue(dueInAll > 10 * COURSES, dueInAll + " due in all courses");
+        assertTrue(totalDue > 10 * RUNS, totalDue + " due in all courses");
     }
 
-    private void play(long seed) {
+    private void run(long seed) {
         Random random = new Random(seed);
-        TaskAssignment duties = new TaskAssignment(TaskFleet.SELF, TaskFleet.ZONE, EVERY);
-        PlainDuties plain = new PlainDuties();
+        TaskAssignment duties = new TaskAssignment(TaskFleet.SELF, TaskFleet.ZONE, INTERVAL);
+        ReferenceAssignment plain = new ReferenceAssignment();
         TaskFleet fleet = new TaskFleet();
         NAMES.forEach(name -> fleet.alive(name, TaskFleet.ZONE));
         MembershipView view = fleet.view();
         List<Long> nodes = LongStream.range(0, 12).boxed().toList();
         long now = 0;
-        for (int step = 0; step < STEPS; step++) {
+        for (int step = 0; step < STEPS_PER_RUN; step++) {
             if (random.nextInt(3) == 0) {
                 nodes = LongStream.range(0, 20).filter(i -> random.nextInt(3) > 0).boxed().toList();
             }
@@ -99,10 +99,10 @@
                 change(fleet, random);
                 view = fleet.view();
             }
-            now += random.nextLong(EVERY);
-            List<Long> due = plain.due(view, nodes, now);
+            now += random.nextLong(INTERVAL);
+            List<Long> due = plain.dueTasks(view, nodes, now);
             assertEquals(due, duties.dueTasks(view, nodes, now), "seed " + seed + ", step " + step);
-            dueInAll += due.size();
+            totalDue += due.size();
         }
     }
 
@@ -111,20 +111,20 @@
             String name = NAMES.get(random.nextInt(NAMES.size()));
             switch (random.nextInt(6)) {
                 case 0 -> fleet.remove(name);
-                case 1 -> fleet.silent(name, MemberStatus.ALIVE);
+                case 1 -> fleet.withoutMetadata(name, MemberStatus.ALIVE);
                 case 2 -> fleet.alive(name, random.nextBoolean() ? TaskFleet.ZONE : "b");
                 default ->
                         fleet.put(
                                 name,
                                 TaskFleet.ZONE,
-                                any(MemberStatus.values(), random),
-                                any(MemberMetadata.Lifecycle.values(), random),
+                                randomOf(MemberStatus.values(), random),
+                                randomOf(MemberMetadata.Lifecycle.values(), random),
                                 random.nextInt(9));
             }
         }
     }
 
-    private static <T> T any(T[] values, Random random) {
+    private static <T> T randomOf(T[] values, Random random) {
         return values[random.nextInt(values.length)];
     }
 }
--- a/src/test/java/cairnbridge/fleet/coordination/TaskAssignmentWorkTest.java
+++ b/src/test/java/cairnbridge/fleet/coordination/TaskAssignmentWorkTest.java
@@ -17,16 +17,16 @@
  * changed costs neither; a new view costs one pass and the weights of what has changed in it.
  */
 class TaskAssignmentWorkTest {
-    private static final long EVERY = 20_000;
+    private static final long INTERVAL = 20_000;
 
     private final TaskFleet fleet = new TaskFleet();
     private int passes;
     private int weights;
-    private final TaskAssignment duties =
+    private final TaskAssignment assignment =
             new TaskAssignment(
                     TaskFleet.SELF,
                     TaskFleet.ZONE,
-                    EVERY,
+                    INTERVAL,
                     (view, zone) -> {
                         passes++;
                         return TaskAssignment.eligibleMembers(view, zone);
@@ -44,22 +44,22 @@
         for (int i = 0; i < 3 * peers; i++) {
             fleet.alive("q" + i, "b");
         }
-        call(fleet.view(), nodes(nodes));
+        computeDueTasks(fleet.view(), firstTasks(nodes));
     }
 
-    private static List<Long> nodes(int count) {
+    private static List<Long> firstTasks(int count) {
         return LongStream.range(0, count).boxed().toList();
     }
 
-    private void call(MembershipView view, List<Long> nodes) {
+    private void computeDueTasks(MembershipView view, List<Long> nodes) {
         passes = 0;
         weights = 0;
-        duties.dueTasks(view, nodes, 0);
+        assignment.dueTasks(view, nodes, 0);
     }
 
     @ParameterizedTest
     @CsvSource({"3, 18", "12, 78", "45, 311", "90, 620"})
-    void theFirstCallComputesEachWeightOnce(int peers, int nodes) {
+    void firstCallComputesEachWeightOnce(int peers, int nodes) {
         fill(peers, nodes);
         assertEquals(1, passes);
         assertEquals(peers * nodes, weights);
@@ -67,43 +67,43 @@
 
     @ParameterizedTest
     @CsvSource({"3, 18", "12, 78", "45, 311", "90, 620"})
-    void theSameViewCostsNoPassAndNoWeight(int peers, int nodes) {
+    void unchangedViewCostsNoPassAndNoWeight(int peers, int nodes) {
         fill(peers, nodes);
         MembershipView view = fleet.view();
-        call(view, nodes(nodes));
-        call(view, nodes(nodes));
+        computeDueTasks(view, firstTasks(nodes));
+        computeDueTasks(view, firstTasks(nodes));
         assertEquals(0, passes);
         assertEquals(0, weights);
     }
 
     @ParameterizedTest
     @CsvSource({"3, 18", "12, 78", "45, 311", "90, 620"})
-    void newFiguresCostOnePassAndNoWeight(int peers, int nodes) {
+    void changedMetricsCostOnePassAndNoWeight(int peers, int nodes) {
         fill(peers, nodes);
         fleet.put("p1", TaskFleet.ZONE, MemberStatus.ALIVE, MemberMetadata.Lifecycle.SERVING, 7);
         fleet.put("q1", "b", MemberStatus.DEAD, MemberMetadata.Lifecycle.SERVING, 7);
-        call(fleet.view(), nodes(nodes));
+        computeDueTasks(fleet.view(), firstTasks(nodes));
         assertEquals(1, passes);
         assertEquals(0, weights);
     }
 
     @ParameterizedTest
     @CsvSource({"3, 18", "12, 78", "45, 311", "90, 620"})
-    void aMemberThatJoinsIsWeighedOnceForEachNode(int peers, int nodes) {
+    void joiningMemberCostsOneWeightPerTask(int peers, int nodes) {
         fill(peers, nodes);
-        call(fleet.alive("new", TaskFleet.ZONE).view(), nodes(nodes));
+        computeDueTasks(fleet.alive("new", TaskFleet.ZONE).view(), firstTasks(nodes));
         assertEquals(1, passes);
         assertEquals(nodes, weights);
     }
 
     @ParameterizedTest
     @CsvSource({"3, 18", "12, 78", "45, 311", "90, 620"})
-    void aMemberThatLeavesCostsTheWeightsOfItsOwnNodesOnly(int peers, int nodes) {
+    void leavingMemberCostsTheWeightsOfItsOwnTasksOnly(int peers, int nodes) {
         fill(peers, nodes);
         MemberId leaver = new MemberId("p1");
         MembershipView before = fleet.view();
         long owned =
-                nodes(nodes).stream()
+                firstTasks(nodes).stream()
                         .filter(
                                 node ->
                                         TaskAssignment.candidatesInOrder(
@@ -112,21 +112,21 @@
                                                 .equals(leaver))
                         .count();
         assertTrue(owned < nodes, "it owns some nodes, not all");
-        call(fleet.remove("p1").view(), nodes(nodes));
+        computeDueTasks(fleet.remove("p1").view(), firstTasks(nodes));
         assertEquals(1, passes);
         assertEquals(owned * (peers - 1), weights);
     }
 
     @ParameterizedTest
     @CsvSource({"3, 18", "12, 78", "45, 311", "90, 620"})
-    void aNewNodeCostsOneWeightForEachCandidate(int peers, int nodes) {
+    void newTaskCostsOneWeightPerCandidate(int peers, int nodes) {
         fill(peers, nodes);
         MembershipView view = fleet.view();
-        call(view, nodes(nodes));
-        call(view, nodes(nodes + 1));
+        computeDueTasks(view, firstTasks(nodes));
+        computeDueTasks(view, firstTasks(nodes + 1));
         assertEquals(0, passes);
         assertEquals(peers, weights);
-        call(view, nodes(nodes));
+        computeDueTasks(view, firstTasks(nodes));
         assertEquals(0, weights, "a node that goes costs nothing");
     }
 }
--- a/src/test/java/cairnbridge/fleet/coordination/TaskFleet.java
+++ b/src/test/java/cairnbridge/fleet/coordination/TaskFleet.java
@@ -21,9 +21,9 @@
     /** Between others with the same hash, so that ties are won and lost. */
     static final MemberId SELF = new MemberId("AaBB");
 
-    private static final MembershipStatistics NO_FIGURES = MembershipStatistics.EMPTY;
+    private static final MembershipStatistics NO_STATISTICS = MembershipStatistics.EMPTY;
 
-    private final Map<String, MemberState> claims = new TreeMap<>();
+    private final Map<String, MemberState> members = new TreeMap<>();
 
     TaskFleet alive(String name, String zone) {
         return put(name, zone, MemberStatus.ALIVE, MemberMetadata.Lifecycle.SERVING, 0);
@@ -47,26 +47,26 @@
                         .lifecycle(state)
                         .metrics(figures)
                         .build();
-        claims.put(name, claim(name, standing, told));
+        members.put(name, member(name, standing, told));
         return this;
     }
 
     /** One that is known by its name and standing only. */
-    TaskFleet silent(String name, MemberStatus standing) {
-        claims.put(name, claim(name, standing, null));
+    TaskFleet withoutMetadata(String name, MemberStatus standing) {
+        members.put(name, member(name, standing, null));
         return this;
     }
 
     TaskFleet remove(String name) {
-        claims.remove(name);
+        members.remove(name);
         return this;
     }
 
     MembershipView view() {
-        return new MembershipView(SELF, new ArrayList<>(claims.values()), 0, NO_FIGURES);
+        return new MembershipView(SELF, new ArrayList<>(members.values()), 0, NO_STATISTICS);
     }
 
-    private static MemberState claim(String name, MemberStatus standing, MemberMetadata told) {
+    private static MemberState member(String name, MemberStatus standing, MemberMetadata told) {
         return new MemberState(
                 new MemberId(name),
                 new Endpoint("10.0.0.1", 1000),
--- a/src/test/java/cairnbridge/fleet/membership/MembershipViewTest.java
+++ b/src/test/java/cairnbridge/fleet/membership/MembershipViewTest.java
@@ -15,9 +15,9 @@
 
 /** Look-ups in a view, each of which goes through its members once at most. */
 class MembershipViewTest {
-    private static final MembershipStatistics NO_FIGURES = MembershipStatistics.EMPTY;
+    private static final MembershipStatistics NO_STATISTICS = MembershipStatistics.EMPTY;
 
-    private static MemberState claim(String name, MemberStatus standing) {
+    private static MemberState member(String name, MemberStatus standing) {
         return new MemberState(
                 new MemberId(name),
                 new Endpoint("10.0.0.1", 1000),
@@ -29,14 +29,14 @@
     }
 
     private static MembershipView view(List<MemberState> claims) {
-        return new MembershipView(new MemberId("a"), claims, 0, NO_FIGURES);
+        return new MembershipView(new MemberId("a"), claims, 0, NO_STATISTICS);
     }
 
     @Test
-    void eachMemberIsFoundAndNobodyElse() {
+    void stateOfFindsEachMemberAndNoUnknownOne() {
         List<MemberState> claims = new ArrayList<>();
         for (int i = 0; i < 500; i++) {
-            claims.add(claim("p" + i, MemberStatus.values()[i % MemberStatus.values().length]));
+            claims.add(member("p" + i, MemberStatus.values()[i % MemberStatus.values().length]));
         }
         MembershipView view = view(claims);
         for (MemberState claim : claims) {
@@ -46,39 +46,39 @@
     }
 
     @Test
-    void theFirstOfTwoOfTheSameNameIsFound() {
-        MemberState first = claim("a", MemberStatus.ALIVE);
+    void stateOfReturnsTheFirstOfTwoMembersWithTheSameName() {
+        MemberState first = member("a", MemberStatus.ALIVE);
         assertSame(
                 first,
-                view(List.of(first, claim("a", MemberStatus.DEAD)))
+                view(List.of(first, member("a", MemberStatus.DEAD)))
                         .stateOf(first.id())
                         .orElseThrow());
     }
 
     @Test
-    void thoseAliveAndSuspectLive() {
-        MemberState alive = claim("a", MemberStatus.ALIVE);
-        MemberState suspect = claim("b", MemberStatus.SUSPECT);
+    void aliveAndSuspectMembersAreLive() {
+        MemberState alive = member("a", MemberStatus.ALIVE);
+        MemberState suspect = member("b", MemberStatus.SUSPECT);
         List<MemberState> all =
                 List.of(
-                        claim("c", MemberStatus.DEAD),
+                        member("c", MemberStatus.DEAD),
                         suspect,
-                        claim("d", MemberStatus.LEFT),
+                        member("d", MemberStatus.LEFT),
                         alive);
         assertEquals(List.of(suspect, alive), view(all).liveMembers());
     }
 
     @Test
-    void theLivingAreWorkedOutOnceForEachView() {
-        MembershipView view = view(List.of(claim("a", MemberStatus.ALIVE)));
+    void liveMembersAreComputedOncePerView() {
+        MembershipView view = view(List.of(member("a", MemberStatus.ALIVE)));
         assertSame(view.liveMembers(), view.liveMembers());
     }
 
     @Test
-    void laterChangesOfTheListDoNotReachTheView() {
-        List<MemberState> claims = new ArrayList<>(List.of(claim("a", MemberStatus.ALIVE)));
+    void viewCopiesTheMemberList() {
+        List<MemberState> claims = new ArrayList<>(List.of(member("a", MemberStatus.ALIVE)));
         MembershipView view = view(claims);
-        claims.add(claim("b", MemberStatus.ALIVE));
+        claims.add(member("b", MemberStatus.ALIVE));
         assertEquals(1, view.liveMembers().size());
         assertEquals(Optional.empty(), view.stateOf(new MemberId("b")));
     }
--- a/src/test/java/cairnbridge/fleet/membership/SwimProtocolPropertyTest.java
+++ b/src/test/java/cairnbridge/fleet/membership/SwimProtocolPropertyTest.java
@@ -21,13 +21,13 @@
  * them.
  */
 class SwimProtocolPropertyTest {
-    private static final int COURSES = Integer.getInteger("fleet.courses", 60);
-    private static final int STEPS = 14;
-    private static final int MOST = 14;
-    private static final long FIRST = Long.getLong("fleet.seed", 1);
+    private static final int RUNS = Integer.getInteger("fleet.courses", 60);
+    private static final int STEPS_PER_RUN = 14;
+    private static final int MAX_NODES = 14;
+    private static final long FIRST_SEED = Long.getLong("fleet.seed", 1);
 
     /** What a step of a random run does. */
-    enum What {
+    enum Action {
         JOIN,
         CRASH,
         RESTART,
@@ -42,47 +42,47 @@
     }
 
     /** One step of a random run. */
-    record Step(What what, int who, int value) {}
+    record Step(Action action, int node, int value) {}
 
     @Test
-    void afterQuietAllThatLiveHoldTheSameAndNoIncarnationGoesBack() {
-        for (long seed = FIRST; seed < FIRST + COURSES; seed++) {
-            List<Step> course = course(seed);
-            String wrong = play(seed, course);
+    void viewsAgreeAfterHealingAndIncarnationsNeverDecrease() {
+        for (long seed = FIRST_SEED; seed < FIRST_SEED + RUNS; seed++) {
+            List<Step> course = randomSteps(seed);
+            String wrong = run(seed, course);
             if (!wrong.isEmpty()) {
-                fail("seed " + seed + ": " + shortest(seed, course));
+                fail("seed " + seed + ": " + shrink(seed, course));
             }
         }
     }
 
-    private static List<Step> course(long seed) {
+    private static List<Step> randomSteps(long seed) {
         RandomGenerator chance = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
         List<Step> course = new ArrayList<>();
-        for (int i = 0; i < STEPS; i++) {
-            What[] all = What.values();
+        for (int i = 0; i < STEPS_PER_RUN; i++) {
+            Action[] all = Action.values();
             course.add(
                     new Step(
                             all[chance.nextInt(all.length)],
                             chance.nextInt(1000),
                             chance.nextInt(1000)));
-            course.add(new Step(What.PASS, 0, chance.nextInt(1000)));
+            course.add(new Step(Action.PASS, 0, chance.nextInt(1000)));
         }
         return course;
     }
 
-    private static String shortest(long seed, List<Step> course) {
+    private static String shrink(long seed, List<Step> course) {
         List<Step> left = new ArrayList<>(course);
         for (int i = left.size() - 1; i >= 0; i--) {
             List<Step> without = new ArrayList<>(left);
             without.remove(i);
-            if (!play(seed, without).isEmpty()) {
+            if (!run(seed, without).isEmpty()) {
                 left = without;
             }
         }
-        return play(seed, left) + " after " + left;
+        return run(seed, left) + " after " + left;
     }
 
-    private static String play(long seed, List<Step> course) {
+    private static String run(long seed, List<Step> course) {
         SimulatedNet net = new SimulatedNet(SwimSettings.DEFAULT, seed);
         Map<List<MemberId>, Incarnation> newest = new HashMap<>();
         List<String> back = new ArrayList<>();
@@ -104,7 +104,7 @@
         }
         net.pass(5 * SECOND);
         for (Step step : course) {
-            take(net, step, newest);
+            perform(net, step, newest);
         }
         net.heal();
         net.loss = 0;
@@ -116,14 +116,14 @@
         return back.isEmpty() ? net.disagreement() : back.get(0);
     }
 
-    private static void take(SimulatedNet net, Step step, Map<List<MemberId>, Incarnation> newest) {
+    private static void perform(SimulatedNet net, Step step, Map<List<MemberId>, Incarnation> newest) {
         List<Node> running = net.running();
-        Node who = running.isEmpty() ? null : running.get(step.who % running.size());
-        Node any = net.nodes().get(step.who % net.nodes().size());
+        Node who = running.isEmpty() ? null : running.get(step.node % running.size());
+        Node any = net.nodes().get(step.node % net.nodes().size());
         Node first = net.nodes().get(0);
-        switch (step.what) {
+        switch (step.action) {
             case JOIN -> {
-                if (net.nodes().size() < MOST && who != null) {
+                if (net.nodes().size() < MAX_NODES && who != null) {
                     // One that runs and is within reach is among its seeds, else nobody could ever
                     // find it.
                     Node node = net.add("p" + net.nodes().size(), first, who);
@@ -168,7 +168,7 @@
                                             net.side(
                                                     node,
                                                     (node.id.name().hashCode() * 31 + step.value)
-                                                            % (2 + step.who % 2)));
+                                                            % (2 + step.node % 2)));
             case ONE_WAY -> {
                 if (who != null) {
                     net.cutOneWay(who, any);
--- a/src/test/java/cairnbridge/fleet/membership/SwimProtocolTest.java
+++ b/src/test/java/cairnbridge/fleet/membership/SwimProtocolTest.java
@@ -30,12 +30,12 @@
     /** Deaths of members that ran and were not frozen, as any view held them. */
     private final List<String> falseDeaths = new ArrayList<>();
 
-    private List<Node> fleet(int size) {
+    private List<Node> startFleet(int size) {
         Node first = net.add("p0");
         for (int i = 1; i < size; i++) {
             net.add("p" + i, first);
         }
-        agreed(10);
+        awaitAgreement(10);
         net.watcher =
                 (holder, before, after, why) -> {
                     if (after != null
@@ -52,21 +52,21 @@
         return net.nodes();
     }
 
-    private long agreed(int seconds) {
+    private long awaitAgreement(int seconds) {
         long took = net.untilAgreed(seconds * SECOND, STEP);
         assertTrue(took >= 0, "after " + seconds + " s " + net.disagreement());
         return took;
     }
 
     @Test
-    void twelveJoinThroughOneSeedThatThenDies() {
+    void membersAgreeAfterTheirOnlySeedCrashes() {
         Node seed = net.add("seed");
         for (int i = 0; i < 12; i++) {
             net.add("p" + i, seed);
         }
         net.pass(SECOND);
         net.crash(seed);
-        assertTrue(agreed(5) > 0);
+        assertTrue(awaitAgreement(5) > 0);
     }
 
     /**
@@ -74,12 +74,12 @@
      * was there.
      */
     @Test
-    void twoHundredThatStartAtOnceAgreeWithinSevenSeconds() {
+    void twoHundredSimultaneousStartsAgreeWithinSevenSeconds() {
         Node seed = net.add("seed");
         for (int i = 0; i < 200; i++) {
             net.add("p" + i, seed);
         }
-        assertTrue(agreed(7) > 0);
+        assertTrue(awaitAgreement(7) > 0);
     }
 
     /**
@@ -88,7 +88,7 @@
      * seconds and more.
      */
     @Test
-    void twoPairsThatMetFirstAreOneFleetWithinTwoSeconds() {
+    void twoSeparatelyJoinedPairsMergeWithinTwoSeconds() {
         Node[] seeds = {net.add("p1"), net.add("p2"), net.add("p3"), net.add("p4")};
         List.of(seeds).forEach(net::crash);
         net.pass(SECOND);
@@ -100,20 +100,20 @@
         net.pass(SECOND / 10);
         assertEquals(2, seeds[0].machine.liveCount(), "two pairs");
         assertEquals(2, seeds[3].machine.liveCount(), "two pairs");
-        assertTrue(agreed(2) > 0);
+        assertTrue(awaitAgreement(2) > 0);
     }
 
     @Test
-    void aThirdThatDiesInOneInstantIsKnownByAllWithinFiveSeconds() {
-        List<Node> nodes = fleet(48);
+    void simultaneousCrashOfAThirdIsDetectedWithinFiveSeconds() {
+        List<Node> nodes = startFleet(48);
         nodes.subList(0, 16).forEach(net::crash);
-        agreed(5);
+        awaitAgreement(5);
         assertEquals(List.of(), falseDeaths);
     }
 
     @Test
-    void whoWasFrozenRefutesItsDeathAndNeverForgotNorSplit() {
-        List<Node> nodes = fleet(12);
+    void resumedMemberRefutesItsDeathAndDeclaresNobodyDead() {
+        List<Node> nodes = startFleet(12);
         Node frozen = nodes.get(5);
         Incarnation before = frozen.machine.self().incarnation();
         net.freeze(frozen);
@@ -121,7 +121,7 @@
         assertEquals(
                 MemberStatus.DEAD, nodes.get(0).machine.stateOf(frozen.id).orElseThrow().status());
         net.thaw(frozen);
-        agreed(5);
+        awaitAgreement(5);
         Incarnation after = nodes.get(0).machine.stateOf(frozen.id).orElseThrow().incarnation();
         assertEquals(before.generation(), after.generation(), "it is the same life");
         assertTrue(after.refutation() > before.refutation(), "it has refuted");
@@ -131,8 +131,8 @@
 
     @ParameterizedTest
     @ValueSource(ints = {2, 3})
-    void partsThatWereCutOffFindOneAnotherThoughSomeDiedAndJoinedOnEachSide(int parts) {
-        List<Node> nodes = new ArrayList<>(fleet(24));
+    void partitionsMergeAfterCrashesAndJoinsOnEachSide(int parts) {
+        List<Node> nodes = new ArrayList<>(startFleet(24));
         for (int i = 0; i < nodes.size(); i++) {
             net.side(nodes.get(i), i % parts);
         }
@@ -144,7 +144,7 @@
         }
         net.pass(20 * SECOND);
         net.heal();
-        agreed(5);
+        awaitAgreement(5);
         assertEquals(List.of(), falseDeaths, "nobody is held dead by one that could hear it");
     }
 
@@ -153,8 +153,8 @@
      * deafness of one's own.
      */
     @Test
-    void aSmallPartThatIsCutOffKnowsItWithinTwelveSeconds() {
-        List<Node> nodes = fleet(24);
+    void smallPartitionDetectsUnreachableMembersWithinTwelveSeconds() {
+        List<Node> nodes = startFleet(24);
         nodes.forEach(node -> net.side(node, nodes.indexOf(node) < 4 ? 1 : 0));
         net.pass(12 * SECOND);
         for (Node node : nodes.subList(0, 4)) {
@@ -167,8 +167,8 @@
     }
 
     @Test
-    void aLinkThatWorksOneWayOnlyKillsNobody() {
-        List<Node> nodes = fleet(8);
+    void oneWayLinksCauseNoFalseDeaths() {
+        List<Node> nodes = startFleet(8);
         net.cutOneWay(nodes.get(1), nodes.get(2));
         net.cutOneWay(nodes.get(3), nodes.get(4));
         net.pass(60 * SECOND);
@@ -177,13 +177,13 @@
     }
 
     @Test
-    void aNewLifeUnderTheSameAddressTakesThePlaceOfTheOldOneWhileThatIsStillToldOf() {
-        List<Node> nodes = fleet(12);
+    void restartedMemberReplacesItsOldGenerationDuringSuspicionGossip() {
+        List<Node> nodes = startFleet(12);
         Node node = nodes.get(3);
         net.crash(node);
         net.pass(SECOND + SECOND / 2); // It is suspected, and told of as suspect.
         net.start(node, nodes.get(0));
-        agreed(5);
+        awaitAgreement(5);
         net.pass(15 * SECOND);
         assertEquals("", net.disagreement());
         assertEquals(
@@ -193,33 +193,33 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 4_000_000_000_000_000L})
-    void aClockThatJumpedBetweenTwoLivesDoesNotShutAMemberOut(long life) {
-        List<Node> nodes = fleet(12);
+    void memberRejoinsAfterAClockJumpBetweenGenerations(long life) {
+        List<Node> nodes = startFleet(12);
         Node node = nodes.get(3);
         net.crash(node);
         net.pass(10 * SECOND);
         net.start(node, life, nodes.get(0));
-        agreed(5);
+        awaitAgreement(5);
         net.crash(node);
         net.pass(10 * SECOND);
         net.start(node, nodes.get(0));
-        agreed(5);
+        awaitAgreement(5);
         Incarnation held = nodes.get(7).machine.stateOf(node.id).orElseThrow().incarnation();
         assertEquals(node.machine.self().incarnation().generation(), held.generation());
     }
 
     @Test
-    void lossOfThreeInTenKillsNobodyForGood() {
-        fleet(24);
+    void viewsAgreeAgainAfterThirtyPercentLoss() {
+        startFleet(24);
         net.loss = 0.3;
         net.pass(30 * SECOND);
         net.loss = 0;
-        agreed(5);
+        awaitAgreement(5);
     }
 
     @Test
-    void underLossOfATenthNobodyThatLivesIsHeldDead() {
-        fleet(30);
+    void tenPercentLossCausesNoFalseDeaths() {
+        startFleet(30);
         net.loss = 0.1;
         net.doubled = 0.05;
         net.pass(600 * SECOND);
@@ -231,8 +231,8 @@
      * view.
      */
     @Test
-    void whoHoldsASuspectForLongAsksItBeforeItsTimeIsUp() {
-        fleet(50);
+    void longSuspicionsAreRefutedBeforeTheirTimeout() {
+        startFleet(50);
         net.loss = 0.1;
         net.pass(900 * SECOND);
         long suspicions =
@@ -244,8 +244,8 @@
     }
 
     @Test
-    void whoTakesItsLeaveIsNoCrashAndIsNotAskedForAgain() {
-        List<Node> nodes = fleet(12);
+    void leavingMemberIsNotDeclaredDead() {
+        List<Node> nodes = startFleet(12);
         Set<String> held = new TreeSet<>();
         net.watcher =
                 (holder, before, after, why) -> {
@@ -254,7 +254,7 @@
                     }
                 };
         net.leave(nodes.get(4));
-        agreed(2);
+        awaitAgreement(2);
         net.pass(20 * SECOND);
         assertEquals(Set.of("LEFT LEFT"), held);
         assertEquals(0, nodes.get(0).machine.statistics().counters().deaths());
@@ -265,8 +265,8 @@
      * missed.
      */
     @Test
-    void whoHasMissedALeaveIsToldOnceItSuspects() {
-        List<Node> nodes = fleet(12);
+    void memberThatMissedALeaveIsCorrectedWhenItSuspects() {
+        List<Node> nodes = startFleet(12);
         Node gone = nodes.get(4);
         net.cutOneWay(gone, nodes.get(9));
         nodes.forEach(node -> net.cutOneWay(node, nodes.get(9)));
@@ -281,8 +281,8 @@
     }
 
     @Test
-    void whatAMemberTellsReachesAllAndUnknownFieldsWithIt() {
-        List<Node> nodes = fleet(12);
+    void announcedMetadataReachesAllWithUnknownFields() {
+        List<Node> nodes = startFleet(12);
         byte[] raw = {(byte) 0xA2, 0x64, 's', 't', 'a', 't', 'e', 0, 0x61, 'x', 1};
         byte[] good = {
             (byte) 0xA2, 0x64, 'z', 'o', 'n', 'e', 0x61, 'b', 0x63, 'n', 'e', 'w', (byte) 0x82, 1, 2
@@ -304,7 +304,7 @@
     }
 
     @Test
-    void theTableIsBoundedAndTheGoneMakeRoomForTheLiving() {
+    void fullTableEvictsDeadAndLeftMembersForLiveOnes() {
         SwimSettings small = SwimSettings.builder().maxMembers(10).build();
         SimulatedNet other = new SimulatedNet(small, 3);
         Node alone = other.add("alone");
@@ -344,7 +344,7 @@
     }
 
     @Test
-    void oldDeadAreForgottenByAllAndStayForgotten() {
+    void deadMembersAreForgottenByAllAfterTheRetention() {
         SwimSettings brief = SwimSettings.builder().retention(20 * SECOND, 20 * SECOND).build();
         SimulatedNet other = new SimulatedNet(brief, 3);
         Node first = other.add("p0");
@@ -361,8 +361,8 @@
     }
 
     @Test
-    void twoWhoCallThemselvesTheSameAreSaidOnce() {
-        List<Node> nodes = fleet(4);
+    void duplicateMemberNameIsLoggedOncePerProcess() {
+        List<Node> nodes = startFleet(4);
         Node impostor = net.add("p2", nodes.get(0));
         net.pass(30 * SECOND);
         long lines =
@@ -373,12 +373,12 @@
     }
 
     @Test
-    void theSameEventsGiveTheSameActions() {
-        assertEquals(course(11), course(11));
-        assertNotEquals(course(11), course(12));
+    void sameSeedGivesTheSameRun() {
+        assertEquals(statusChangeLog(11), statusChangeLog(11));
+        assertNotEquals(statusChangeLog(11), statusChangeLog(12));
     }
 
-    private static String course(long seed) {
+    private static String statusChangeLog(long seed) {
         SimulatedNet net = new SimulatedNet(SwimSettings.DEFAULT, seed);
         StringBuilder course = new StringBuilder();
         net.watcher =
