--- a/src/main/java/cairnbridge/fleet/coordination/FleetLoadCounters.java
+++ b/src/main/java/cairnbridge/fleet/coordination/FleetLoadCounters.java
@@ -15,11 +15,12 @@
 import java.util.Set;
 
 /**
- * Counts this proxy's own requests and attempts for what it announces to its fleet. One thread
- * counts and publishes; methods that any thread may call say so. A proxy outside a fleet has none.
+ * Counts this proxy's own requests and attempts for the metrics that it announces to its fleet. One
+ * thread records and publishes; methods that any thread may call are marked. A proxy outside a
+ * fleet has no such counters.
  */
 public final class FleetLoadCounters {
-    /** An attempt that was cancelled with less than this time left had got no answer. */
+    /** An attempt cancelled with less than this left of its request's time counts as unanswered. */
     private static final long NEARLY_EXPIRED = 20 * Ticks.MILLISECOND;
 
     private static final long PROBE_INTERVAL = Ticks.SECOND;
@@ -29,14 +30,17 @@
 
     private final ReachabilityReport nodes = new ReachabilityReport(NODE_FAILURE_THRESHOLD);
 
-    /** By zone: where a zone has many nodes, each is used too rarely to be found unreachable. */
+    /**
+     * By zone: where a zone has many nodes, each node is used too rarely to reach its own failure
+     * threshold.
+     */
     private final ReachabilityReport zones = new ReachabilityReport(ZONE_FAILURE_THRESHOLD);
 
     private final ZoneOutcomeCounters outcomes = new ZoneOutcomeCounters();
     private final RequestRates rates;
     private final Set<Long> knownNodes = new HashSet<>();
 
-    /** Hashes of the zones' names, by cache node. */
+    /** Hash of the zone name of each cache node. */
     private final Map<NodeId, Long> zoneOf = new HashMap<>();
 
     private final List<String> zoneNames;
@@ -46,7 +50,7 @@
     private long probedAt;
 
     /**
-     * Counters that start at zero.
+     * Creates counters that start at zero.
      *
      * @param zoneNames the names of the zones, in the order of their numbers in the endpoint list
      */
@@ -57,12 +61,12 @@
         rates = new RequestRates(categories.size(), now);
     }
 
-    /** A request of a category was accepted. Any thread may call this. */
+    /** Records an accepted request of a category. Any thread may call this. */
     public void requestAccepted(int category) {
         rates.requestAccepted(category);
     }
 
-    /** The endpoint list has changed. */
+    /** Applies a change of the endpoint list. */
     public void endpointListChanged(Event.EndpointListReceived change) {
         if (change.scope() != Event.ListScope.CHANGES && !change.endpoints().isEmpty()) {
             knownNodes.clear();
@@ -73,59 +77,60 @@
         zones.retain(zoneOf.values());
     }
 
-    private void update(Event.Endpoint entry) {
-        boolean gone = entry.state() == Event.NodeState.GONE;
+    private void update(Event.Endpoint endpoint) {
+        boolean gone = endpoint.state() == Event.NodeState.GONE;
         if (gone) {
-            knownNodes.remove(entry.node().value());
+            knownNodes.remove(endpoint.node().value());
         } else {
-            knownNodes.add(entry.node().value());
+            knownNodes.add(endpoint.node().value());
         }
-        int zone = entry.zone().value();
-        // Guards against a zone that looks well to all because the origin stands in it.
-        boolean origin = entry.kind().equals(originKind);
+        int zone = endpoint.zone().value();
+        // Guards against a failed zone that appears reachable to all members because the origin is
+        // in it.
+        boolean origin = endpoint.kind().equals(originKind);
         if (gone || origin || zone >= zoneNames.size()) {
-            zoneOf.remove(entry.node());
+            zoneOf.remove(endpoint.node());
         } else {
-            zoneOf.put(entry.node(), Fnv1a.hash(zoneNames.get(zone)));
+            zoneOf.put(endpoint.node(), Fnv1a.hash(zoneNames.get(zone)));
         }
     }
 
-    /** A health check has ended. */
-    public void probeEnded(NodeId node, AttemptOutcome ending, long now) {
-        recordReachability(node, ending, 0, now);
+    /** Records the outcome of a health check. */
+    public void probeEnded(NodeId node, AttemptOutcome outcome, long now) {
+        recordReachability(node, outcome, 0, now);
     }
 
     /**
-     * An attempt has ended.
+     * Records the outcome of an attempt.
      *
-     * @param duration how long it took
-     * @param timeLeft what was left of its request's time
+     * @param duration the time that the attempt took
+     * @param timeLeft the time left until the deadline of its request
      */
     public void attemptEnded(
             NodeId node,
             int category,
-            AttemptOutcome ending,
+            AttemptOutcome outcome,
             long duration,
             long timeLeft,
             long now) {
-        recordReachability(node, ending, timeLeft, now);
+        recordReachability(node, outcome, timeLeft, now);
         Long zone = zoneOf.get(node);
-        if (zone != null && isConclusive(ending, timeLeft)) {
+        if (zone != null && isConclusive(outcome, timeLeft)) {
             boolean answered =
-                    ending == AttemptOutcome.SUCCESS
-                            || ending == AttemptOutcome.CACHE_MISS
-                            || ending == AttemptOutcome.OVERLOADED;
+                    outcome == AttemptOutcome.SUCCESS
+                            || outcome == AttemptOutcome.CACHE_MISS
+                            || outcome == AttemptOutcome.OVERLOADED;
             boolean late = duration > categories.get(category).latencyObjective();
             outcomes.record(zone, !answered || late, now);
         }
     }
 
-    private void recordReachability(NodeId node, AttemptOutcome ending, long timeLeft, long now) {
-        if (!isConclusive(ending, timeLeft)) {
+    private void recordReachability(NodeId node, AttemptOutcome outcome, long timeLeft, long now) {
+        if (!isConclusive(outcome, timeLeft)) {
             return;
         }
         boolean reached =
-                switch (ending) {
+                switch (outcome) {
                     case TIMED_OUT, CANCELLED, CONNECT_FAILED, CONNECTION_LOST -> false;
                     default -> true;
                 };
@@ -137,30 +142,30 @@
     }
 
     /**
-     * Whether an ending says anything about the node; that of a cancelled attempt does if its
-     * request's time was over.
+     * Whether an outcome shows if the node can be reached. That of a cancelled attempt does only if
+     * the time of its request was over.
      */
-    private static boolean isConclusive(AttemptOutcome ending, long timeLeft) {
-        return ending != AttemptOutcome.NOT_SENT
-                && (ending != AttemptOutcome.CANCELLED || timeLeft <= NEARLY_EXPIRED);
+    private static boolean isConclusive(AttemptOutcome outcome, long timeLeft) {
+        return outcome != AttemptOutcome.NOT_SENT
+                && (outcome != AttemptOutcome.CANCELLED || timeLeft <= NEARLY_EXPIRED);
     }
 
-    /** Makes what was counted so far readable for other threads. */
+    /** Publishes the current counts to other threads. */
     public void publish(long now) {
         published =
                 new Reachability(
                         nodes.unreachable(now), outcomes.outcomes(now), zones.unreachable(now));
     }
 
-    /** What was published last. Any thread may call this. */
+    /** The counts published last. Any thread may call this. */
     public Reachability reachability() {
         return published;
     }
 
     /**
-     * Unreachable nodes that are to be probed now, some once a second, those first whose last
-     * failure is longest ago. Guards against a zone that gets its traffic back because nobody has
-     * tried it for a while. For one thread.
+     * Unreachable nodes to be probed now: a few once a second, those whose last failure is oldest.
+     * Guards against a zone that gets its traffic back only because no member has tried it for a
+     * while. Called by one thread.
      */
     public List<NodeId> nodesToProbe(long now) {
         if (now - probedAt < PROBE_INTERVAL) {
@@ -172,12 +177,14 @@
         return unreachable.subList(first, unreachable.size()).stream().map(NodeId::new).toList();
     }
 
-    /** Requests accepted a second, smoothed. Any thread may call this. */
+    /** Accepted requests per second, smoothed. Any thread may call this. */
     public long requestsPerSecond(long now) {
         return rates.total(now);
     }
 
-    /** The same by category, as of the last call of {@link #requestsPerSecond}. */
+    /**
+     * Accepted requests per second by category, as of the last call of {@link #requestsPerSecond}.
+     */
     public double[] requestsPerSecondByCategory() {
         return rates.byCategory();
     }
--- a/src/main/java/cairnbridge/fleet/coordination/LiveProxyCount.java
+++ b/src/main/java/cairnbridge/fleet/coordination/LiveProxyCount.java
@@ -4,15 +4,18 @@
 import cairnbridge.time.Ticks;
 
 /**
- * The number of proxies among which the limits of the whole fleet are divided: the live members,
- * smoothed. More members count within a second or so, fewer only within some seconds, as quotas
- * that grow too soon add up to too much.
+ * The number of proxies that share the limits of the whole fleet: the number of live members,
+ * smoothed. It rises within about a second but falls only within some seconds, because quotas that
+ * grow too soon add up to more than the limit.
  */
 public final class LiveProxyCount {
     private static final double RISE_TIME = Ticks.SECOND;
     private static final double FALL_TIME = 5 * Ticks.SECOND;
 
-    /** Guards against a count that changes to and fro around a half. */
+    /**
+     * Minimum difference between the smoothed and the reported count that changes the latter.
+     * Guards against a count that oscillates while the smoothed value is around a half.
+     */
     private static final double HYSTERESIS = 0.6;
 
     private final int configured;
@@ -20,7 +23,7 @@
     private long updatedAt;
     private int reported;
 
-    /** A count that starts from the configured number of proxies. */
+    /** Creates a count that starts from the configured number of proxies. */
     public LiveProxyCount(int configured, long now) {
         this.configured = Math.max(1, configured);
         smoothed = this.configured;
@@ -28,7 +31,7 @@
         updatedAt = now;
     }
 
-    /** The count that holds now. */
+    /** Updates the count from the view and returns it. */
     public int update(MembershipView view, long now) {
         double target = target(view.liveMembers().size());
         double timeConstant = target > smoothed ? RISE_TIME : FALL_TIME;
@@ -42,8 +45,8 @@
     }
 
     /**
-     * Guards against a part of a fleet that is cut off and takes the whole fleet's quota, while the
-     * other part does so as well.
+     * Guards against a partitioned fleet in which each part claims the quota of the whole fleet: a
+     * minority counts as half of the configured number.
      */
     private double target(int live) {
         boolean majority = 2 * live > configured;
--- a/src/main/java/cairnbridge/fleet/coordination/NodeSuspicions.java
+++ b/src/main/java/cairnbridge/fleet/coordination/NodeSuspicions.java
@@ -11,22 +11,22 @@
 import java.util.Set;
 
 /**
- * Nodes that most members of a zone cannot reach. Each is reported once, and again only after fewer
- * than a quarter of the members have said so.
+ * Nodes that most members of a zone cannot reach. Each node is reported once, and again only after
+ * the share of members that cannot reach it has been below a quarter.
  */
 public final class NodeSuspicions {
-    /** The opinion of fewer members counts for nothing. */
+    /** Minimum number of members with an opinion; fewer cannot make a node suspect. */
     private static final int MIN_MEMBERS = 3;
 
     private final String zone;
     private final Set<Long> reported = new HashSet<>();
 
-    /** Suspicions of the members of one zone. */
+    /** Creates the suspicions of the members of one zone. */
     public NodeSuspicions(String zone) {
         this.zone = zone;
     }
 
-    /** The ids of nodes to be suspected from now on. */
+    /** The ids of nodes that have become suspect since the last call. */
     public List<Long> newSuspicions(MembershipView view) {
         int members = 0;
         Map<Long, Integer> reporters = new HashMap<>();
--- a/src/main/java/cairnbridge/fleet/coordination/ReachabilityReport.java
+++ b/src/main/java/cairnbridge/fleet/coordination/ReachabilityReport.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 
 /**
- * Which nodes, or zones, this proxy cannot reach, by how its own attempts and health checks ended:
- * several in a row got no connection or no answer, and none got one since. Failures of long ago do
- * not count.
+ * The nodes, or zones, that this proxy cannot reach, according to its own attempts and health
+ * checks: several in a row got no connection or no answer, and none has got one since. Failures
+ * expire after a while.
  */
 public final class ReachabilityReport {
     private static final long MAX_AGE = 10 * Ticks.SECOND;
@@ -23,32 +23,32 @@
     private final int threshold;
     private final Map<Long, Failures> failures = new HashMap<>();
 
-    /** A report in which this many failures in a row make a node unreachable. */
+    /** Creates a report in which this many failures in a row make a node unreachable. */
     public ReachabilityReport(int threshold) {
         this.threshold = threshold;
     }
 
-    /** Forgets all others than these. */
+    /** Forgets all nodes except these. */
     public void retain(Collection<Long> known) {
         failures.keySet().retainAll(known);
     }
 
     /**
-     * Records how an attempt ended.
+     * Records the outcome of an attempt.
      *
-     * @param reached whether the node answered anything, be it an error
+     * @param reached whether the node sent any answer, including an error
      */
     public void record(long node, boolean reached, long now) {
         if (reached) {
             failures.remove(node);
             return;
         }
-        Failures own = failures.computeIfAbsent(node, id -> new Failures());
-        own.count++;
-        own.lastAt = now;
+        Failures nodeFailures = failures.computeIfAbsent(node, id -> new Failures());
+        nodeFailures.count++;
+        nodeFailures.lastAt = now;
     }
 
-    /** The unreachable ones, those with the latest failure first. */
+    /** The unreachable nodes, the one with the latest failure first. */
     public List<Long> unreachable(long now) {
         failures.values().removeIf(each -> now - each.lastAt > MAX_AGE);
         Comparator<Map.Entry<Long, Failures>> byTime =
--- a/src/main/java/cairnbridge/fleet/coordination/RequestRates.java
+++ b/src/main/java/cairnbridge/fleet/coordination/RequestRates.java
@@ -3,16 +3,16 @@
 import cairnbridge.time.Ticks;
 import java.util.concurrent.atomic.AtomicLongArray;
 
-/** Requests accepted a second, by category, smoothed. All methods may be called by any thread. */
+/** Accepted requests per second by category, smoothed. Thread-safe. */
 final class RequestRates {
-    /** Rates are updated at most this often. */
+    /** Minimum time between two updates of the rates. */
     private static final double MIN_UPDATE_SECONDS = 0.5;
 
     private static final double SMOOTHING_SECONDS = 2;
 
     private final AtomicLongArray accepted;
 
-    /** What {@link #accepted} held at the last update; guarded by this object's lock. */
+    /** The values of {@link #accepted} at the last update; guarded by this object's lock. */
     private final long[] acceptedBefore;
 
     /** Guarded by this object's lock. */
@@ -32,7 +32,7 @@
         accepted.incrementAndGet(category);
     }
 
-    /** The sum over all categories. */
+    /** The rate of all categories together, updated if an update is due. */
     synchronized long total(long now) {
         double seconds = (double) (now - updatedAt) / Ticks.SECOND;
         if (seconds >= MIN_UPDATE_SECONDS) {
--- a/src/main/java/cairnbridge/fleet/coordination/TaskAssignment.java
+++ b/src/main/java/cairnbridge/fleet/coordination/TaskAssignment.java
@@ -13,16 +13,16 @@
 import java.util.Set;
 
 /**
- * Assigns periodic tasks that one member of a zone does for all: to the live member with the
- * highest hash of name and task (rendezvous hashing, Thaler and Ravishankar 1998). All members with
- * the same view name the same one; when that is no longer live the next takes over, and no other
- * task moves.
+ * Assigns periodic tasks that one member of a zone performs for all. The owner of a task is the
+ * live member with the highest hash of name and task (rendezvous hashing, Thaler and Ravishankar
+ * 1998). All members with the same view compute the same owner. When an owner dies, the member with
+ * the next highest hash takes over, and no other task moves.
  *
- * <p>A view that is the same object as in the call before costs nothing; another one costs one pass
- * over its members, and weights only where the candidates have changed.
+ * <p>A call with the same view object as the call before costs nothing. Another view costs one pass
+ * over its members, and weights are computed only where the candidates have changed.
  */
 public final class TaskAssignment {
-    /** The members of a zone that can take tasks. */
+    /** Selects the members of a zone that are eligible for tasks. */
     interface Candidates {
         Set<MemberId> of(MembershipView view, String zone);
     }
@@ -37,15 +37,15 @@
     private List<Long> latestTasks = List.of();
 
     /**
-     * Tasks of one member in a zone.
+     * Creates the task assignment of one member in a zone.
      *
-     * @param interval how often the owner of a task does it
+     * @param interval the time between two executions of a task by its owner
      */
     public TaskAssignment(MemberId self, String zone, long interval) {
         this(self, zone, interval, TaskAssignment::eligibleMembers, TaskAssignment::weight);
     }
 
-    /** For tests that count passes over views, and weights. */
+    /** For tests that count passes over views and computed weights. */
     TaskAssignment(
             MemberId self,
             String zone,
@@ -59,7 +59,7 @@
         owners = new TaskOwners(weight);
     }
 
-    /** The members of a zone that can take a task, the owner first. */
+    /** The members of a zone that are eligible for a task, the owner first. */
     public static List<MemberId> candidatesInOrder(MembershipView view, String zone, long task) {
         Comparator<MemberId> byWeight = Comparator.comparingLong(id -> weight(id, task));
         return eligibleMembers(view, zone).stream()
@@ -82,9 +82,9 @@
     }
 
     /**
-     * The tasks that this member is to do now, out of all. Guards against a task that is done twice
-     * as often while two members hold different views: one that was another's until now waits its
-     * time first.
+     * Returns those of the tasks that this member must perform now. Guards against a task that is
+     * performed twice as often while two members hold different views: a new owner waits for one
+     * interval first.
      */
     public List<Long> dueTasks(MembershipView view, List<Long> tasks, long now) {
         updateCandidates(view);
--- a/src/main/java/cairnbridge/fleet/coordination/TaskOwners.java
+++ b/src/main/java/cairnbridge/fleet/coordination/TaskOwners.java
@@ -9,12 +9,12 @@
 import java.util.Set;
 
 /**
- * The owner of each task among the candidates: the one with the highest weight, of equal ones the
- * first by name. Owners are remembered; a change of the candidates computes only the weights that
- * it can matter for: those of a candidate that joins, and those for tasks whose owner has gone.
+ * The owner of each task: the candidate with the highest weight, and of equal ones the first by
+ * name. Owners are cached. A change of the candidates computes only the weights of candidates that
+ * join, and all weights of tasks whose owner is no longer a candidate.
  */
 final class TaskOwners {
-    /** How strongly a candidate is drawn to a task; the same at every member. */
+    /** The weight of a candidate for a task in rendezvous hashing; equal at every member. */
     interface Weight {
         long of(MemberId candidate, long task);
     }
@@ -47,12 +47,12 @@
         return ownerOf(task).filter(id::equals).isPresent();
     }
 
-    /** Forgets the owners of all other tasks. */
+    /** Forgets the owners of all tasks except these. */
     void retain(Collection<Long> tasks) {
         owners.keySet().retainAll(tasks);
     }
 
-    /** From now on these, and no others, can own tasks. */
+    /** Replaces the members that can own tasks. */
     void setCandidates(Set<MemberId> current) {
         if (current.equals(candidates)) {
             return;
@@ -73,7 +73,7 @@
                 : best(null, candidates, task);
     }
 
-    /** The best of the others and the incumbent, which may be null. */
+    /** The owner with the highest rank among the incumbent, which may be null, and the others. */
     private Owner best(Owner incumbent, Collection<MemberId> others, long task) {
         Owner best = incumbent;
         for (MemberId id : others) {
--- a/src/main/java/cairnbridge/fleet/coordination/ZoneOutcomeCounters.java
+++ b/src/main/java/cairnbridge/fleet/coordination/ZoneOutcomeCounters.java
@@ -8,11 +8,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** How this proxy's attempts ended, by zone: counts that are halved every second. */
+/** Outcomes of this proxy's attempts by zone, as counts that are halved every second. */
 public final class ZoneOutcomeCounters {
     private static final long HALF_LIFE = Ticks.SECOND;
 
-    /** Counts below this are dropped. */
+    /** Zones with fewer attempts than this are removed. */
     private static final double NEGLIGIBLE = 0.25;
 
     private static final class Count {
@@ -29,10 +29,10 @@
     private long halvedAt;
 
     /**
-     * Records how an attempt ended.
+     * Records the outcome of an attempt.
      *
      * @param zoneHash the hash of the zone's name
-     * @param failed whether it failed or was late
+     * @param failed whether the attempt failed or took longer than its latency objective
      */
     public void record(long zoneHash, boolean failed, long now) {
         decay(now);
@@ -52,7 +52,7 @@
         }
     }
 
-    /** The zones with the most attempts, those first. */
+    /** The zones with the most attempts, in descending order. */
     public List<ZoneOutcome> outcomes(long now) {
         decay(now);
         Comparator<Map.Entry<Long, Count>> byAttempts =
--- a/src/main/java/cairnbridge/fleet/coordination/package-info.java
+++ b/src/main/java/cairnbridge/fleet/coordination/package-info.java
@@ -1,7 +1,7 @@
 /**
- * What a proxy uses the fleet's view for: which member does which shared task, among how many
- * proxies limits are divided, which nodes others cannot reach, and the metrics that it announces
- * about its own attempts. Decisions only: no I/O, no clock, no threads; times are in {@link
+ * Uses of the fleet's membership view: the assignment of shared tasks, the number of proxies that
+ * share a limit, nodes that other members cannot reach, and the metrics that a proxy announces
+ * about its own attempts. Decision logic only: no I/O, no clock, no threads; times are in {@link
  * cairnbridge.time.Ticks}.
  */
 package cairnbridge.fleet.coordination;
--- a/src/main/java/cairnbridge/fleet/membership/AntiEntropy.java
+++ b/src/main/java/cairnbridge/fleet/membership/AntiEntropy.java
@@ -15,38 +15,42 @@
 import java.util.Optional;
 
 /**
- * Compares whole views with other members: at intervals, when a member returns, and when another's
- * digest differs for long. Only the partitions that differ are exchanged, both ways.
+ * Exchanges whole views with other members (push-pull): at intervals, after a member returns, and
+ * when the view digest in another member's messages keeps differing. Only the partitions whose
+ * hashes differ are exchanged, in both directions.
  */
 final class AntiEntropy {
     /**
-     * The interval grows with every doubling of the fleet beyond this size (as in memberlist's
-     * pushPullScale).
+     * Fleet size up to which the interval stays at its minimum. Every doubling beyond it adds the
+     * minimum once more (as in memberlist's pushPullScale).
      */
     private static final int SMALL_FLEET = 32;
 
-    /** A digest that differs for so long, with nothing new meanwhile, was missed by gossip. */
+    /**
+     * A digest that differs for this long, while no member's status changes, indicates an update
+     * that gossip failed to deliver.
+     */
     private static final long MIN_STABLE_TIME = 3 * Ticks.SECOND;
 
-    /** Between two comparisons that this member begins. */
+    /** Minimum time between two comparisons that this member starts. */
     private static final long MIN_COMPARISON_INTERVAL = Ticks.SECOND / 5;
 
-    /** After a member has returned a comparison begins within this time. */
+    /** Maximum delay of the comparison that follows the return of a member, in ticks. */
     private static final int MAX_DELAY_AFTER_RETURN = 3_000;
 
-    /** A newcomer compares this often, each time after twice the time. */
+    /** Number of extra comparisons after joining; the delay before each is twice the one before. */
     private static final int JOIN_COMPARISONS = 4;
 
     private static final long FIRST_JOIN_COMPARISON_DELAY = Ticks.SECOND;
 
-    /** Ids of calls begin here, apart from those of the failure detector. */
+    /** Start of the call ids used here; disjoint from the ids of the failure detector. */
     private static final long FIRST_CALL_ID = 1L << 62;
 
     private static final long NEVER = Long.MIN_VALUE / 2;
 
     private final SwimContext context;
 
-    /** Calls under way, and to whom. */
+    /** Endpoints of the pending comparison calls, by call id. */
     private final Map<Long, Endpoint> pendingCalls = new HashMap<>();
 
     private MemberUpdates updates;
@@ -61,35 +65,38 @@
         this.context = context;
     }
 
-    /** Connects the two parts that need one another; before the start. */
+    /**
+     * Sets the component that applies received states. Called once before {@link #start}, because
+     * the two components refer to each other.
+     */
     void setMemberUpdates(MemberUpdates memberUpdates) {
         updates = memberUpdates;
     }
 
     /**
-     * Begins.
+     * Records the start time.
      *
-     * @param alone whether there is nobody to join
+     * @param alone whether there is no contact to join through
      */
     void start(boolean alone) {
         startedAt = context.now();
         joined = alone;
     }
 
-    /** Starts the comparisons at intervals. */
+    /** Starts the periodic comparisons. */
     void startPeriodicComparisons() {
         context.schedule(randomInterval(), this::comparePeriodically);
     }
 
-    /** Starts the further comparisons of a newcomer. */
+    /** Starts the extra comparisons of a member that joins. */
     void startJoinComparisons() {
         scheduleJoinComparison(1, FIRST_JOIN_COMPARISON_DELAY);
     }
 
     /**
-     * Guards against a fleet that starts all at once, whose updates about one another would take
-     * their turns for tens of seconds: whoever came before was not there yet when its first call
-     * was answered.
+     * Guards against slow convergence of a fleet that starts all at once: the contact that answers
+     * the first call does not know the members that join after it, and gossip alone would take tens
+     * of seconds to deliver all updates.
      */
     private void scheduleJoinComparison(int count, long delay) {
         context.schedule(
@@ -102,12 +109,14 @@
                 });
     }
 
-    /** For how long this process has run. */
+    /** Time since the protocol was started. */
     long uptime() {
         return context.now() - startedAt;
     }
 
-    /** Whether the view of another member has been received, or there is nobody to ask. */
+    /**
+     * Whether the view of another member has been received, or there is no contact to join through.
+     */
     boolean hasJoined() {
         return joined;
     }
@@ -124,14 +133,17 @@
         compareWithRandom(1);
     }
 
-    /** Compares with live members chosen at random. */
+    /** Starts comparisons with up to this many random live members. */
     void compareWithRandom(int members) {
         context.table
                 .randomLive(members, context.random)
                 .forEach(member -> compareWith(member.state.endpoint()));
     }
 
-    /** A member has returned, and with it perhaps a part of the fleet. */
+    /**
+     * Schedules a comparison with a member that has returned; other members of a healed partition
+     * may have returned with it.
+     */
     void compareSoon(MemberRecord member) {
         if (!comparisonScheduled) {
             comparisonScheduled = true;
@@ -144,17 +156,24 @@
         }
     }
 
-    /** Guards against views that differ until the next interval though all has been passed on. */
+    /**
+     * Guards against views that stay different until the next periodic comparison although no
+     * updates are pending: starts a comparison once the digests have differed for too long.
+     */
     void digestReceived(MemberRecord sender, long digest) {
         boolean same = digest == 0 || digest == context.viewDigest();
         if (same || context.stableFor() < MIN_STABLE_TIME) {
             lastMatchAt = context.now();
-        } else if (context.now() - lastMatchAt > MIN_STABLE_TIME && context.now() - lastComparisonAt > MIN_STABLE_TIME) {
+        } else if (context.now() - lastMatchAt > MIN_STABLE_TIME
+                && context.now() - lastComparisonAt > MIN_STABLE_TIME) {
             compareWith(sender.state.endpoint());
         }
     }
 
-    /** Sends the digests of this view, unless that was done a moment ago. */
+    /**
+     * Calls a member with the partition hashes of this view, unless a comparison was started a
+     * moment ago.
+     */
     void compareWith(Endpoint endpoint) {
         boolean tooSoon = joined && context.now() - lastComparisonAt < MIN_COMPARISON_INTERVAL;
         if (context.self.hasLeft() || tooSoon) {
@@ -180,9 +199,10 @@
     }
 
     /**
-     * What is held in the partitions that differ from another's; empty if the digest is malformed.
+     * Returns the states in the partitions whose hashes differ from the caller's; empty if the
+     * digest is malformed.
      *
-     * @param caller null if this member has no room for it
+     * @param caller null if the table has no room for the caller
      */
     Optional<Message> compare(Message.Digest digest, MemberRecord caller) {
         if (digest.partitionHashes().size() != MemberDigest.PARTITIONS) {
@@ -216,7 +236,7 @@
                 .forEach(wanted::set);
         List<MemberState> states = new ArrayList<>();
         if (wanted.isEmpty()) {
-            return states; // The usual case, and the table may be long.
+            return states; // Usually no partition differs; this avoids a scan of the table.
         }
         if (wanted.get(MemberDigest.partitionOf(context.self.id()))) {
             states.add(context.self.state());
@@ -229,7 +249,7 @@
         return states;
     }
 
-    /** Handles the end of a call; those that are no comparisons change nothing. */
+    /** Handles the end of a call; ignores calls that are not comparisons. */
     void callCompleted(long callId, Packet answer) {
         Endpoint endpoint = pendingCalls.remove(callId);
         if (endpoint == null
@@ -237,27 +257,32 @@
                 || !(answer.message() instanceof Message.StateTransfer transfer)) {
             return;
         }
-        List<MemberState> news = statesMissingFrom(transfer);
+        List<MemberState> missing = statesMissingFrom(transfer);
         updates.applyAll(transfer.updates(), MemberUpdates.Source.STATE_TRANSFER);
         joined = true;
-        if (!news.isEmpty()) {
-            // Nothing depends on the answer, so that the id is not kept.
-            Message push = new Message.StateTransfer(List.of(), news);
-            context.host.call(++lastCallId, endpoint, context.packet(push));
+        if (!missing.isEmpty()) {
+            // The answer is not needed, so the call id is not stored.
+            Message reply = new Message.StateTransfer(List.of(), missing);
+            context.host.call(++lastCallId, endpoint, context.packet(reply));
         }
     }
 
-    /** What this member holds in the partitions of a transfer and its sender does not. */
+    /**
+     * Returns the states in the partitions of a transfer that its sender lacks or has only in an
+     * older version.
+     */
     private List<MemberState> statesMissingFrom(Message.StateTransfer transfer) {
         Map<MemberId, MemberState> theirs = new HashMap<>();
         transfer.updates().forEach(state -> theirs.put(state.id(), state));
-        List<MemberState> news = new ArrayList<>();
+        List<MemberState> missing = new ArrayList<>();
         for (MemberState own : statesIn(transfer.partitions())) {
-            MemberState their = theirs.get(own.id());
-            if (their == null || own.supersedes(their) || own.hasNewerMetadataThan(their)) {
-                news.add(own);
+            MemberState theirState = theirs.get(own.id());
+            if (theirState == null
+                    || own.supersedes(theirState)
+                    || own.hasNewerMetadataThan(theirState)) {
+                missing.add(own);
             }
         }
-        return news;
+        return missing;
     }
 }
--- a/src/main/java/cairnbridge/fleet/membership/FailureDetector.java
+++ b/src/main/java/cairnbridge/fleet/membership/FailureDetector.java
@@ -15,17 +15,22 @@
 import java.util.Map;
 
 /**
- * Finds out which members answer: pings one after another, and has other members ping those that do
- * not answer.
+ * SWIM failure detection: pings one member after another, and asks other members to ping those that
+ * do not answer.
  */
 final class FailureDetector {
-    /** A member is told at most this often what is said about it. */
+    /** Minimum time between two notifications of a member about its recorded status. */
     static final long MIN_NOTIFY_INTERVAL = Ticks.SECOND / 2;
 
-    /** A challenge carries this many updates beside the statement. */
+    /**
+     * Number of pending updates that a challenge carries besides the statement about its target.
+     */
     private static final int UPDATES_WITH_CHALLENGE = 4;
 
-    /** A ping under way: the target answers in time, by any route, or becomes suspect. */
+    /**
+     * A pending probe. Its target becomes suspect unless an ack arrives in time, directly, through
+     * a relay or over a stream.
+     */
     private static final class Probe {
         final MemberId target;
         final Incarnation incarnation;
@@ -38,9 +43,9 @@
         }
 
         /**
-         * What the end of an unanswered probe says about this member's own health: if the members
-         * that were asked are silent as well, it is this one that hears badly; if all of them
-         * answered, it is not.
+         * The change of the local health score after an unanswered probe. Without any nack, the
+         * relays are silent as well, so this member's own reception is probably bad. With a nack
+         * from every relay, its reception is good.
          */
         int healthAdjustment() {
             if (nacks == 0) {
@@ -50,7 +55,7 @@
         }
     }
 
-    /** A ping on behalf of another member. */
+    /** A ping sent on behalf of another member. */
     private record RelayedProbe(long requestSequence, Endpoint requester, MemberId target) {}
 
     private final SwimContext context;
@@ -58,7 +63,7 @@
     private final Map<Long, Probe> probes = new HashMap<>();
     private final Map<Long, RelayedProbe> relayedProbes = new HashMap<>();
 
-    /** Pings over a stream, by the id of the call. */
+    /** Pending pings over a stream, by call id. */
     private final Map<Long, Probe> streamProbes = new HashMap<>();
 
     private SuspicionTracker suspicions;
@@ -69,7 +74,10 @@
         schedule = new ProbeSchedule(context);
     }
 
-    /** Connects the two parts that need one another; before the start. */
+    /**
+     * Sets the suspicion tracker. Called once before {@link #start}, because the two components
+     * refer to each other.
+     */
     void setSuspicionTracker(SuspicionTracker tracker) {
         suspicions = tracker;
     }
@@ -84,7 +92,10 @@
         schedule.add(member);
     }
 
-    /** Guards against suspicions by one that could not have heard an answer. */
+    /**
+     * Drops all pending probes. Guards against suspicions by a process that was paused and could
+     * not receive the answers.
+     */
     void abandonProbes() {
         probes.clear();
         streamProbes.clear();
@@ -99,7 +110,10 @@
         }
     }
 
-    /** Probes a member out of turn unless that was done lately, and tells it what is said of it. */
+    /**
+     * Probes a member outside the schedule with a statement for it to refute, at most once per
+     * {@link #MIN_NOTIFY_INTERVAL}.
+     */
     void challengeIfDue(MemberRecord target, MemberState statement) {
         if (target.mayNotify(context.now(), MIN_NOTIFY_INTERVAL)) {
             context.counters.challenges++;
@@ -107,7 +121,7 @@
         }
     }
 
-    /** Probes a member out of turn, and tells it what is said of it. */
+    /** Probes a member outside the schedule with a statement for it to refute. */
     void challenge(MemberRecord target, MemberState statement) {
         List<MemberState> updates = new ArrayList<>();
         updates.add(statement);
@@ -131,8 +145,8 @@
     }
 
     /**
-     * Asks other members to ping, and tries a stream: guards against deaths by datagrams that get
-     * lost on one route.
+     * Asks other members to ping the target, and pings it over a stream. Guards against false
+     * deaths when datagrams are lost on one route.
      */
     private void probeIndirectly(long sequence, Probe probe) {
         MemberRecord target = context.table.get(probe.target);
@@ -161,9 +175,9 @@
     }
 
     /**
-     * The members that were heard last. Guards against a member that asks those who are cut off
-     * together with the target, and takes their silence for its own bad reception: a cut would then
-     * be found ever more slowly.
+     * Returns the members heard from most recently. Guards against relays that are cut off together
+     * with the target: their silence would count as bad local reception and lengthen the probe
+     * interval, so that this member would detect a partition more and more slowly.
      */
     private List<MemberRecord> relaysFor(MemberRecord target) {
         Comparator<MemberRecord> lastHeardFirst =
@@ -189,7 +203,7 @@
         }
     }
 
-    /** Handles the messages that belong to probes. */
+    /** Handles pings, ping requests, acks and nacks. */
     void messageReceived(MemberRecord sender, Packet packet) {
         Message message = packet.message();
         if (message instanceof Message.Ping ping) {
@@ -222,7 +236,8 @@
                 request.targetEndpoint(),
                 context.packet(
                         new Message.Ping(sequence, request.target(), context.updatesFor(target))));
-        // Before the requester's own time is up, which is two and a half times this.
+        // The requester's probe ends after two and a half times this timeout, so the nack arrives
+        // before.
         context.schedule(
                 context.settings.probeTimeout(),
                 () -> {
@@ -233,7 +248,7 @@
                 });
     }
 
-    /** The sender is the target itself, or a member that was asked and passes the answer on. */
+    /** Handles an ack, sent by the target itself or by a relay that forwards it. */
     private void ackReceived(long sequence, MemberId sender) {
         RelayedProbe relayed = relayedProbes.get(sequence);
         if (relayed != null && relayed.target.equals(sender)) {
@@ -245,7 +260,7 @@
         }
     }
 
-    /** Handles the end of a call; those that are no probes change nothing. */
+    /** Handles the end of a call; ignores calls that are not probes. */
     void callCompleted(long callId, Packet answer) {
         Probe probe = streamProbes.remove(callId);
         if (probe != null
@@ -257,8 +272,8 @@
     }
 
     /**
-     * Guards against two halves of a fleet that hold each other dead for ever once they can reach
-     * each other again.
+     * Pings a random dead member. Guards against two partitions that consider each other dead
+     * forever after the network heals.
      */
     private void probeDead() {
         context.schedule(context.settings.deadProbeInterval(), this::probeDead);
@@ -269,8 +284,8 @@
     }
 
     /**
-     * Tells a member what is said of it. Its answer carries its own statement; nothing happens if
-     * there is none.
+     * Pings a member with its recorded status, so that it can refute it in its answer. A missing
+     * answer has no effect.
      */
     void pingWithStatus(MemberRecord member) {
         List<MemberState> statement = List.of(member.state.withoutMetadata());
--- a/src/main/java/cairnbridge/fleet/membership/GossipDissemination.java
+++ b/src/main/java/cairnbridge/fleet/membership/GossipDissemination.java
@@ -5,9 +5,12 @@
 import cairnbridge.time.Ticks;
 import java.util.List;
 
-/** Sends pending updates to random members at intervals. */
+/** Sends pending updates to random live members, and to a recently dead one, at intervals. */
 final class GossipDissemination {
-    /** Members that died this recently still get gossip, so that they may refute it. */
+    /**
+     * Members declared dead within this time still receive gossip, so that they can refute their
+     * death.
+     */
     private static final long RECENTLY_DEAD = 5 * Ticks.SECOND;
 
     private final SwimContext context;
--- a/src/main/java/cairnbridge/fleet/membership/GossipQueue.java
+++ b/src/main/java/cairnbridge/fleet/membership/GossipQueue.java
@@ -9,16 +9,19 @@
 import java.util.Map;
 
 /**
- * Member states that are still to be passed on: the latest of each member, those sent least often
- * first, each a bounded number of times. Changes of status go before changes of metadata. Taking
- * some costs as much as is taken, however many are pending.
+ * Member states that wait for dissemination: the latest state of each member, least often sent
+ * first, each sent a bounded number of times. Status changes have priority over metadata changes.
+ * The cost of taking updates depends on the number taken, not on the number pending.
  */
 final class GossipQueue {
     private static final class PendingUpdate {
         final MemberState state;
         int transmissions;
 
-        /** A later update of the member has replaced it; it is dropped when it is met. */
+        /**
+         * Whether a later update of the same member has replaced this one. A replaced update is
+         * dropped when it reaches the head of its queue.
+         */
         boolean replaced;
 
         PendingUpdate(MemberState state) {
@@ -26,7 +29,7 @@
         }
     }
 
-    /** The pending updates of one priority, by the number of their transmissions. */
+    /** The pending updates of one priority, in one queue for each number of transmissions. */
     private static final class PriorityLevel {
         private final Map<MemberId, PendingUpdate> latest = new HashMap<>();
         private final List<ArrayDeque<PendingUpdate>> byTransmissions = new ArrayList<>();
@@ -62,7 +65,7 @@
             return byTransmissions.get(transmissions);
         }
 
-        /** Moves updates into a message until it is full. */
+        /** Adds updates to a message until it is full. */
         void fill(MessageContent content, int maxTransmissions) {
             List<PendingUpdate> sent = new ArrayList<>();
             for (int i = 0; i < byTransmissions.size() && content.hasRoom(); i++) {
@@ -88,7 +91,9 @@
                     continue;
                 }
                 if (!content.add(update.state)) {
-                    // It comes first in another message; a smaller one may still fit.
+                    // The update waits for a later message. If it was never sent and this message
+                    // is empty, the search goes on among updates already sent, which may be
+                    // smaller.
                     queue.add(update);
                     if (!neverSent || !content.isEmpty()) {
                         content.close();
@@ -100,7 +105,7 @@
         }
     }
 
-    /** The updates of a message, and the bytes that are left in it. */
+    /** The updates of a message and the number of bytes left in it. */
     private static final class MessageContent {
         private final List<MemberState> updates = new ArrayList<>();
         private int bytesLeft;
@@ -109,7 +114,7 @@
             bytesLeft = bytes;
         }
 
-        /** Adds an update if it fits. */
+        /** Adds an update; false if it does not fit. */
         boolean add(MemberState state) {
             int bytes = state.maxEncodedBytes();
             if (bytes > bytesLeft) {
@@ -136,15 +141,15 @@
     private final PriorityLevel statuses = new PriorityLevel();
     private final PriorityLevel metadata = new PriorityLevel();
 
-    /** Passes a changed status on. */
+    /** Queues a state whose status has changed. */
     void addStatus(MemberState state) {
         statuses.add(state);
         if (state.metadata() != null) {
-            metadata.remove(state.id()); // The status carries it.
+            metadata.remove(state.id()); // The status update contains the metadata.
         }
     }
 
-    /** Passes changed metadata on. */
+    /** Queues a state whose metadata has changed. */
     void addMetadata(MemberState state) {
         if (statuses.contains(state.id())) {
             statuses.add(state);
@@ -166,7 +171,10 @@
         return statuses.size() + metadata.size();
     }
 
-    /** Updates for one message of this many bytes; each is handed out this many times in all. */
+    /**
+     * Takes updates for one message of this size. Each update is taken {@code maxTransmissions}
+     * times in all.
+     */
     List<MemberState> take(int bytes, int maxTransmissions) {
         MessageContent content = new MessageContent(bytes);
         statuses.fill(content, maxTransmissions);
@@ -176,7 +184,7 @@
         return content.updates;
     }
 
-    /** The same behind an update that has to be in the message. */
+    /** Like {@link #take(int, int)}, but puts an update first that must be in the message. */
     List<MemberState> take(MemberState first, int bytes, int maxTransmissions) {
         List<MemberState> updates = new ArrayList<>();
         updates.add(first);
--- a/src/main/java/cairnbridge/fleet/membership/JoinProcedure.java
+++ b/src/main/java/cairnbridge/fleet/membership/JoinProcedure.java
@@ -6,15 +6,20 @@
 import java.util.List;
 import java.util.Map;
 
-/** Finds the fleet: calls seeds, and members of an earlier run, until one has answered. */
+/**
+ * Joins the fleet: calls the seeds, and members known from an earlier run, until one answers. Later
+ * it calls seeds that are missing from the view.
+ */
 final class JoinProcedure {
-    /** Between two calls, on average. */
+    /** Mean time between two join calls. */
     private static final long RETRY_INTERVAL = Ticks.SECOND;
 
-    /** Seeds that are not in the view are called after this time at first, ... */
+    /**
+     * Base delay of the first call to a seed that is missing from the view; doubles with each call.
+     */
     private static final long FIRST_SEED_CHECK = Ticks.SECOND / 2;
 
-    /** ... and at this interval at last. */
+    /** Upper bound of the base delay between calls to missing seeds. */
     private static final long MAX_SEED_CHECK_INTERVAL = 5 * Ticks.SECOND;
 
     private final SwimContext context;
@@ -22,15 +27,15 @@
     private final List<Endpoint> seeds;
     private final List<Endpoint> remembered;
 
-    /** The live member that was last found at a seed's endpoint. */
+    /** The live member last found at the endpoint of a seed; null if none was found. */
     private final Map<Endpoint, MemberRecord> memberAtSeed = new HashMap<>();
 
     private int calls;
 
     /**
-     * A procedure for these contacts.
+     * Creates a procedure for these contacts.
      *
-     * @param remembered members of an earlier run of the process, called after the seeds
+     * @param remembered members known from an earlier run of the process, called after the seeds
      */
     JoinProcedure(
             SwimContext context,
@@ -56,7 +61,9 @@
         antiEntropy.startJoinComparisons();
     }
 
-    /** Calls one contact after another; at random times, as a fleet may start all at once. */
+    /**
+     * Calls one contact after another, at random intervals because a whole fleet may start at once.
+     */
     private void join() {
         if (antiEntropy.hasJoined()) {
             return;
@@ -66,8 +73,8 @@
     }
 
     /**
-     * Each seed once, then every second time a remembered member: guards against a fleet whose
-     * seeds are gone.
+     * Returns each seed once, then alternates between remembered members and seeds. Guards against
+     * a fleet whose seeds no longer exist.
      */
     private Endpoint nextContact() {
         boolean seedsTried = calls >= seeds.size();
@@ -75,14 +82,15 @@
                 !remembered.isEmpty() && (seeds.isEmpty() || (seedsTried && calls % 2 == 0));
         List<Endpoint> contacts = useRemembered ? remembered : seeds;
         long generation = context.self.state().incarnation().generation();
-        int turn = calls++ + Math.floorMod(generation, contacts.size());
-        return contacts.get(Math.floorMod(useRemembered ? turn / 2 : turn, contacts.size()));
+        int callIndex = calls++ + Math.floorMod(generation, contacts.size());
+        return contacts.get(
+                Math.floorMod(useRemembered ? callIndex / 2 : callIndex, contacts.size()));
     }
 
     /**
-     * Guards against a fleet whose parts have forgotten one another, and against one that starts at
-     * once and falls into parts, as the first seed that answers knew nobody itself: seeds that are
-     * not in the view are called, soon at first.
+     * Calls seeds that are missing from the view, more often at first. Guards against partitions
+     * that have forgotten each other, and against a fleet that starts all at once and splits
+     * because the first seed to answer knew no other member.
      */
     private void scheduleSeedCheck(long delay) {
         context.schedule(
@@ -100,7 +108,7 @@
         }
     }
 
-    /** Searches the table only if the member that was there last is not there any more. */
+    /** Searches the table only if the member last found at the seed is no longer there. */
     private boolean isLive(Endpoint seed) {
         MemberRecord known = memberAtSeed.get(seed);
         if (known != null && context.table.contains(known) && isAt(known, seed)) {
--- a/src/main/java/cairnbridge/fleet/membership/LocalMember.java
+++ b/src/main/java/cairnbridge/fleet/membership/LocalMember.java
@@ -8,9 +8,12 @@
 import cairnbridge.fleet.member.Message;
 import java.util.List;
 
-/** What this member states about itself, and how it answers what others state about it. */
+/** This member's own state, and its refutations of what other members state about it. */
 final class LocalMember {
-    /** After this many statements about another endpoint a second process is suspected. */
+    /**
+     * Number of statements with another endpoint after which a second process with this member's
+     * name is reported.
+     */
     private static final int CONFLICTS_BEFORE_WARNING = 5;
 
     private final SwimContext context;
@@ -34,19 +37,19 @@
         return state.status() == MemberStatus.LEFT;
     }
 
-    /** Announces changed metrics; others hear of them after changes of members' statuses. */
+    /** Announces changed metrics, with lower priority than status changes. */
     void announceMetrics(MemberMetadata metadata) {
         state = state.withMetadata(state.metadataVersion() + 1, metadata);
         context.gossipQueue.addMetadata(state);
     }
 
-    /** Announces changed metadata as urgently as a change of status. */
+    /** Announces changed metadata with the priority of a status change. */
     void announce(MemberMetadata metadata) {
         state = state.withMetadata(state.metadataVersion() + 1, metadata);
         context.gossipQueue.addStatus(state);
     }
 
-    /** Leaves the fleet, and tells some members at once. */
+    /** Leaves the fleet and sends the announcement to some members at once. */
     void leave() {
         if (hasLeft()) {
             return;
@@ -62,14 +65,14 @@
         }
     }
 
-    /** Refutes what another states about this member, if that would replace its own statement. */
+    /** Refutes a statement about this member if it would supersede this member's own state. */
     void refute(MemberState statement) {
         if (hasLeft() || !contradicts(statement)) {
             return;
         }
         warnOfNameConflict(statement);
-        Incarnation refuting = state.incarnation().superseding(statement.incarnation());
-        state = state.withStatus(refuting, MemberStatus.ALIVE, null);
+        Incarnation newIncarnation = state.incarnation().superseding(statement.incarnation());
+        state = state.withStatus(newIncarnation, MemberStatus.ALIVE, null);
         context.counters.refutations++;
         context.localHealth.adjust(1);
         context.gossipQueue.addStatus(state);
@@ -81,10 +84,10 @@
     }
 
     private void warnOfNameConflict(MemberState statement) {
-        boolean clash =
+        boolean conflict =
                 statement.status() == MemberStatus.ALIVE
                         && !statement.endpoint().equals(state.endpoint());
-        if (clash && nameConflicts < CONFLICTS_BEFORE_WARNING) {
+        if (conflict && nameConflicts < CONFLICTS_BEFORE_WARNING) {
             nameConflicts++;
             if (nameConflicts == CONFLICTS_BEFORE_WARNING) {
                 context.host.log(
--- a/src/main/java/cairnbridge/fleet/membership/MemberDigest.java
+++ b/src/main/java/cairnbridge/fleet/membership/MemberDigest.java
@@ -6,11 +6,11 @@
 import cairnbridge.hash.SplitMix64;
 
 /**
- * The hashes by which members compare their views. The hash of a set of members is the exclusive or
- * of theirs. They are part of the protocol.
+ * Hashes by which members compare their views. The hash of a set of members is the exclusive or of
+ * the members' hashes. All members must compute the same hashes, which are part of the protocol.
  */
 final class MemberDigest {
-    /** Views are compared in this many partitions, and only those that differ are exchanged. */
+    /** Number of partitions of a view; only partitions that differ are exchanged. */
     static final int PARTITIONS = 256;
 
     private MemberDigest() {}
@@ -20,13 +20,13 @@
         return (int) (SplitMix64.mix(id.name().hashCode()) & PARTITIONS - 1);
     }
 
-    /** A hash of which member it is, in which incarnation and status. */
+    /** Hash of a member's name, incarnation and status. */
     static long of(MemberState state) {
         long incarnation = SplitMix64.mix(identity(state) + state.incarnation().refutation());
         return SplitMix64.mix(incarnation + status(state));
     }
 
-    /** The same with the version of its metadata, which changes all the time. */
+    /** Like {@link #of}, but includes the metadata version, which changes often. */
     static long withMetadataVersion(MemberState state) {
         long versioned = SplitMix64.mix(identity(state) + state.metadataVersion());
         long incarnation = SplitMix64.mix(versioned + state.incarnation().refutation());
@@ -38,7 +38,7 @@
         return SplitMix64.mix(name + state.incarnation().generation());
     }
 
-    /** Suspicions come and go, and count as being alive. */
+    /** A suspect member hashes like one that is alive, because suspicions are short. */
     private static long status(MemberState state) {
         return state.status() == MemberStatus.SUSPECT ? 0 : state.status().ordinal();
     }
--- a/src/main/java/cairnbridge/fleet/membership/MemberExpiry.java
+++ b/src/main/java/cairnbridge/fleet/membership/MemberExpiry.java
@@ -4,9 +4,9 @@
 import cairnbridge.fleet.membership.MembershipHost.StatusChangeReason;
 import java.util.List;
 
-/** Forgets members that have been dead, or have left, for long. */
+/** Removes members that have been dead, or have left, for longer than the retention. */
 final class MemberExpiry {
-    /** The retention is checked this many times within itself. */
+    /** Number of expiry checks within one retention period. */
     private static final int CHECKS_PER_RETENTION = 4;
 
     private final SwimContext context;
@@ -30,7 +30,10 @@
         }
     }
 
-    /** A member that is gone leaves the digests after half its retention, then the table. */
+    /**
+     * Removes a member that is dead or has left from the digests after half its retention, and from
+     * the table after all of it.
+     */
     private void expire(MemberRecord member) {
         boolean dead = member.state.status() == MemberStatus.DEAD;
         long retention = dead ? context.settings.deadRetention() : context.settings.leftRetention();
--- a/src/main/java/cairnbridge/fleet/membership/MemberRecord.java
+++ b/src/main/java/cairnbridge/fleet/membership/MemberRecord.java
@@ -5,14 +5,14 @@
 import java.util.Optional;
 
 /**
- * One member in the table. Small, 48 bytes while the member is well: a fleet of thousands holds as
- * many in each process.
+ * One member in the table. A record takes 48 bytes while the member is healthy: each process holds
+ * one for every member of a fleet of thousands.
  */
 final class MemberRecord {
     private static final long NEVER = Long.MIN_VALUE / 2;
     private static final int NOT_LISTED = -1;
 
-    /** What few members have at a time. */
+    /** Fields that only few members need at a time, allocated on demand. */
     private static final class TransientState {
         private Suspicion suspicion;
         private long notifiedAt = NEVER;
@@ -22,15 +22,16 @@
     MemberState state;
     private TransientState transientState;
 
-    /** The index in the table's list of live or of dead members. */
+    /** Index in the table's list of live or dead members. */
     int listIndex = NOT_LISTED;
 
-    /** Whether the member is part of the table's digests. */
+    /** Whether the member is included in the table's digests. */
     boolean inDigest;
 
-    /** When its status changed here, and when it was last heard itself. */
+    /** When the member's status last changed in this view. */
     long statusChangedAt;
 
+    /** When a message from the member itself last arrived. */
     long lastHeardAt = NEVER;
 
     MemberRecord(MemberState state, long now) {
@@ -43,12 +44,14 @@
         return state.status().isLive();
     }
 
-    /** The suspicion that it is under, if any. */
+    /** The member's current suspicion, if any. */
     Optional<Suspicion> suspicion() {
-        return transientState == null ? Optional.empty() : Optional.ofNullable(transientState.suspicion);
+        return transientState == null
+                ? Optional.empty()
+                : Optional.ofNullable(transientState.suspicion);
     }
 
-    /** Whether it is under this very suspicion. */
+    /** Whether this is the member's current suspicion. */
     boolean hasSuspicion(Suspicion suspicion) {
         return transientState != null && transientState.suspicion == suspicion;
     }
@@ -63,7 +66,7 @@
         }
     }
 
-    /** The member was not heard in its present run. */
+    /** Records that no message has arrived from the member's present run. */
     void clearLastHeard() {
         lastHeardAt = NEVER;
     }
@@ -73,7 +76,7 @@
     }
 
     /**
-     * Whether the member may be notified of what is said about it; true at most once in the
+     * Whether the member may be notified of its recorded status now; true at most once per
      * interval.
      */
     boolean mayNotify(long now, long interval) {
--- a/src/main/java/cairnbridge/fleet/membership/MemberTable.java
+++ b/src/main/java/cairnbridge/fleet/membership/MemberTable.java
@@ -14,14 +14,14 @@
 import org.agrona.collections.Object2ObjectHashMap;
 
 /**
- * All members but this one. It keeps lists of the live and of the dead members, for choosing one at
- * random, and digests of the whole.
+ * The records of all members except the local one, with lists of live and dead members for random
+ * choices, and digests of all states.
  */
 final class MemberTable {
     private static final int INITIAL_CAPACITY = 16;
     private static final float LOAD_FACTOR = 0.65f;
 
-    /** Open addressing: a third of the memory that a JDK map takes for each entry. */
+    /** Open addressing takes a third of the memory per entry of a JDK map. */
     private final Map<MemberId, MemberRecord> records =
             new Object2ObjectHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, false);
 
@@ -35,12 +35,12 @@
         this.maxMembers = maxMembers;
     }
 
-    /** The record of a member; null if it is not known. Called for each update of each message. */
+    /** The record of a member; null if unknown. Called for every update in every message. */
     MemberRecord get(MemberId id) {
         return records.get(id);
     }
 
-    /** Whether this record is the one in the table. */
+    /** Whether the table holds this record object. */
     boolean contains(MemberRecord record) {
         return records.get(record.id) == record;
     }
@@ -69,7 +69,10 @@
         return Optional.of(record);
     }
 
-    /** Guards against a table that grows with every name there ever was. */
+    /**
+     * Removes the member that left longest ago or, if none has left, the one that died longest ago.
+     * Guards against a table that grows with every member name ever used.
+     */
     private boolean evictOldestDeadOrLeft() {
         Comparator<MemberRecord> leftFirst =
                 Comparator.comparing(record -> record.state.status() != MemberStatus.LEFT);
@@ -87,10 +90,10 @@
         records.remove(record.id);
     }
 
-    /** Replaces the state of a member; lists and digests follow. */
+    /** Replaces the state of a member and updates lists and digests accordingly. */
     void update(MemberRecord record, MemberState state, long now) {
         assert state.incarnation().compareTo(record.state.incarnation()) >= 0
-                : "an incarnation goes back";
+                : "incarnation decreased";
         MemberStatus before = record.state.status();
         removeFromDigest(record);
         boolean changesList = listFor(before) != listFor(state.status());
@@ -107,7 +110,7 @@
         addToDigest(record);
     }
 
-    /** The list that holds members of a status; null for those that left. */
+    /** The list of members with this status; null for members that left. */
     private List<MemberRecord> listFor(MemberStatus status) {
         return switch (status) {
             case ALIVE, SUSPECT -> live;
@@ -124,7 +127,7 @@
         }
     }
 
-    /** The last entry takes the place of the one that is removed. */
+    /** Moves the last entry to the index of the removed one. */
     private void removeFromList(MemberRecord record) {
         List<MemberRecord> list = listFor(record.state.status());
         if (list == null) {
@@ -138,7 +141,10 @@
         record.clearListIndex();
     }
 
-    /** Live members chosen at random, all different; fewer if there are not as many. */
+    /**
+     * Distinct live members chosen at random; fewer than {@code count} if a bounded number of draws
+     * does not find as many.
+     */
     List<MemberRecord> randomLive(int count, RandomGenerator random) {
         List<MemberRecord> chosen = new ArrayList<>(count);
         int attempts = 4 * count + 4;
@@ -151,12 +157,12 @@
         return chosen;
     }
 
-    /** A hash of the members and their states; equal where the same is held. */
+    /** Hash of all members and their states; equal for equal contents. */
     long digest() {
         return digest;
     }
 
-    /** The same for one partition, with what changes often. */
+    /** Hash of one partition, including the metadata versions. */
     long partitionDigest(int partition) {
         return partitionDigests[partition];
     }
@@ -167,8 +173,8 @@
     }
 
     /**
-     * Leaves a member out of the digests: members forget the dead at different times, which is no
-     * reason to exchange views.
+     * Excludes a member from the digests. Members forget dead ones at different times, and such a
+     * difference must not cause a comparison.
      */
     void removeFromDigest(MemberRecord record) {
         if (record.inDigest) {
--- a/src/main/java/cairnbridge/fleet/membership/MemberUpdates.java
+++ b/src/main/java/cairnbridge/fleet/membership/MemberUpdates.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Applies statements about members to the table, and has those that are news passed on. */
+/** Applies statements about members to the table, and queues those that change it for gossip. */
 final class MemberUpdates {
     private final SwimContext context;
     private final SuspicionTracker suspicions;
@@ -24,17 +24,17 @@
         this.antiEntropy = antiEntropy;
     }
 
-    /** Where a statement comes from. */
+    /** How a statement was received. */
     enum Source {
-        /** The member itself. */
+        /** From the member itself. */
         MEMBER,
-        /** A message with recent updates. */
+        /** In a message with recent updates. */
         GOSSIP,
-        /** The whole view of another member, which may be old. */
+        /** In another member's whole view, which may be outdated. */
         STATE_TRANSFER
     }
 
-    /** Applies what another member has passed on. */
+    /** Applies statements received from another member. */
     void applyAll(List<MemberState> statements, Source source) {
         for (MemberState statement : statements) {
             if (statement.id().equals(context.self.id())) {
@@ -85,8 +85,8 @@
 
     private void applyDead(MemberRecord member, MemberState statement, int order, Source source) {
         if (order >= 0 && member.isLive()) {
-            // Guards against deaths reported by members that were cut off: one that is heard here
-            // is asked first.
+            // Guards against deaths reported by members that were cut off: a member that this one
+            // hears is challenged first.
             if (isDoubtful(member, statement, source)) {
                 failureDetector.challengeIfDue(member, statement);
             } else {
@@ -124,12 +124,12 @@
         context.host.memberChanged(after, after, StatusChangeReason.GOSSIP);
     }
 
-    /** Adds a member that was not known; empty if it is not to be added. */
+    /** Adds an unknown member; empty if it is not added. */
     Optional<MemberRecord> admit(MemberState statement) {
-        boolean gone = !statement.status().isLive();
-        // Guards against dead members that are passed on for ever, as members forget them at
-        // different times.
-        if (gone && antiEntropy.uptime() > context.settings.deadRetention() / 2) {
+        boolean deadOrLeft = !statement.status().isLive();
+        // Guards against gossip that reintroduces dead members forever, because members forget them
+        // at different times.
+        if (deadOrLeft && antiEntropy.uptime() > context.settings.deadRetention() / 2) {
             return Optional.empty();
         }
         boolean suspect = statement.status() == MemberStatus.SUSPECT;
@@ -139,7 +139,7 @@
             context.counters.discardedMessages++;
             return added;
         }
-        if (!gone) {
+        if (!deadOrLeft) {
             memberJoined(added.get());
         }
         if (suspect) {
@@ -153,13 +153,16 @@
         context.markStatusChanged();
         failureDetector.memberJoined(member);
         if (antiEntropy.hasJoined()) {
-            // What a newcomer learns is no news to anybody else.
+            // Members that this one discovers while joining are already known to the others.
             context.gossipQueue.addStatus(member.state);
         }
         context.host.memberChanged(null, member.state, StatusChangeReason.JOINED);
     }
 
-    /** Applies a later statement of the member itself: whatever else was said of it is void. */
+    /**
+     * Applies a newer statement that a member is alive, which overrides its recorded status and any
+     * suspicion.
+     */
     void applyAlive(MemberRecord member, MemberState statement, Source source) {
         MemberState before = member.state;
         boolean sameRun = statement.incarnation().isSameGeneration(before.incarnation());
@@ -184,7 +187,10 @@
         }
     }
 
-    /** Metadata belongs to a run of the process, not to its refutations. */
+    /**
+     * Builds the state after a statement that a member is alive. Metadata outlasts refutations, but
+     * not a restart of the process.
+     */
     private static MemberState aliveState(MemberState before, MemberState statement) {
         boolean sameRun = statement.incarnation().isSameGeneration(before.incarnation());
         boolean newMetadata =
--- a/src/main/java/cairnbridge/fleet/membership/MembershipHost.java
+++ b/src/main/java/cairnbridge/fleet/membership/MembershipHost.java
@@ -5,18 +5,18 @@
 import cairnbridge.fleet.member.Packet;
 
 /**
- * What the membership protocol asks of the process that it runs in. Every method returns at once
- * and is called on the protocol's thread.
+ * The services that the membership protocol needs from its process: messages, notifications and a
+ * log. Every method must return without blocking and is called on the protocol's thread.
  */
 public interface MembershipHost {
-    /** Sends a datagram, which may get lost. */
+    /** Sends a datagram, which may be lost. */
     void send(Endpoint to, Packet packet);
 
     /**
-     * Calls a member over a stream. {@link MembershipEvent.CallCompleted} follows in any case,
-     * within some seconds.
+     * Calls a member over a stream. {@link MembershipEvent.CallCompleted} always follows, within
+     * some seconds.
      *
-     * @param callId chosen by the protocol
+     * @param callId identifies the call; chosen by the protocol
      */
     void call(long callId, Endpoint to, Packet packet);
 
@@ -24,35 +24,35 @@
     void answer(long callId, Packet packet);
 
     /**
-     * What is known about a member has changed.
+     * Reports that the state of a member in this view has changed.
      *
-     * @param before null for a member that was not known
+     * @param before null for a member that was unknown
      * @param after null for a member that is forgotten
      */
     void memberChanged(MemberState before, MemberState after, StatusChangeReason reason);
 
-    /** Reports something that an operator should read; rare. */
+    /** Logs a message for operators; rare. */
     void log(String message);
 
     /** Why the status of a member has changed. */
     enum StatusChangeReason {
-        /** It was not known before. */
+        /** The member was unknown before. */
         JOINED,
-        /** Its process was started anew. */
+        /** Its process has restarted. */
         RESTARTED,
-        /** It did not answer a ping of this or another member. */
+        /** It did not answer a probe of this or another member. */
         PROBE_FAILED,
-        /** Another member said so. */
+        /** Another member reported the change. */
         GOSSIP,
         /** It did not refute a suspicion in time. */
         SUSPICION_TIMEOUT,
         /** It refuted a suspicion. */
         REFUTED,
-        /** It was dead and has spoken again. */
+        /** It was considered dead and has sent a message in the same run. */
         RETURNED,
-        /** It announced that it leaves. */
+        /** It announced that it left the fleet. */
         LEFT,
-        /** It has been gone for so long that it is remembered no more. */
+        /** It was dead or had left, and its retention has expired. */
         FORGOTTEN
     }
 }
--- a/src/main/java/cairnbridge/fleet/membership/MembershipView.java
+++ b/src/main/java/cairnbridge/fleet/membership/MembershipView.java
@@ -9,8 +9,8 @@
 import java.util.Optional;
 
 /**
- * An immutable snapshot of what one member knows of all members, itself included. Any thread may
- * read it; look-up tables are made when they are first needed.
+ * An immutable snapshot of one member's view of the fleet, itself included. Thread-safe; the list
+ * of live members and the index by id are built on first use.
  */
 public final class MembershipView {
     private final MemberId self;
@@ -18,18 +18,18 @@
     private final long digest;
     private final MembershipStatistics statistics;
 
-    /** Any thread may be the first to fill these; whichever does, the content is the same. */
+    /** Several threads may compute these at the same time; the results are equal. */
     private volatile List<MemberState> liveMembers;
 
     private volatile Map<MemberId, MemberState> byId;
 
     /**
-     * Makes a snapshot.
+     * Creates a snapshot.
      *
-     * @param self the member whose view it is
-     * @param members what is known of each member, that one included
-     * @param digest a hash of the view; equal where the same is held
-     * @param statistics what that member has counted
+     * @param self the member whose view this is
+     * @param members the states of all known members, that one included
+     * @param digest hash of the view; equal for equal contents
+     * @param statistics the statistics of that member
      */
     public MembershipView(
             MemberId self,
@@ -52,17 +52,17 @@
         return members;
     }
 
-    /** A hash of the view; equal where the same is held. */
+    /** Hash of the view; equal for equal contents. */
     public long digest() {
         return digest;
     }
 
-    /** What the member has counted. */
+    /** The statistics of the member whose view this is. */
     public MembershipStatistics statistics() {
         return statistics;
     }
 
-    /** What is known of one member. */
+    /** The state of a member; empty if unknown. */
     public Optional<MemberState> stateOf(MemberId id) {
         Map<MemberId, MemberState> index = byId;
         if (index == null) {
@@ -80,17 +80,17 @@
         return index;
     }
 
-    /** The members that are alive or suspect, this one among them unless it has left. */
+    /** The members that are alive or suspect, the local one included unless it has left. */
     public List<MemberState> liveMembers() {
-        List<MemberState> known = liveMembers;
-        if (known == null) {
-            known = members.stream().filter(member -> member.status().isLive()).toList();
-            liveMembers = known;
+        List<MemberState> cached = liveMembers;
+        if (cached == null) {
+            cached = members.stream().filter(member -> member.status().isLive()).toList();
+            liveMembers = cached;
         }
-        return known;
+        return cached;
     }
 
-    /** How many members have this status. */
+    /** The number of members with this status. */
     public int count(MemberStatus status) {
         return (int) members.stream().filter(member -> member.status() == status).count();
     }
--- a/src/main/java/cairnbridge/fleet/membership/MessageHandler.java
+++ b/src/main/java/cairnbridge/fleet/membership/MessageHandler.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Handles the messages and calls of other members. */
+/** Handles messages and calls from other members. */
 final class MessageHandler {
     private final SwimContext context;
     private final MemberUpdates updates;
@@ -31,7 +31,8 @@
     void packetReceived(Packet packet) {
         Optional<MemberRecord> sender = identifySender(packet);
         if (sender.isEmpty()) {
-            // Its own message, one of an earlier run, or the table is full of live members.
+            // The packet is this member's own or comes from an earlier run of the sender, or the
+            // table is full of live members.
             context.counters.discardedMessages++;
             return;
         }
@@ -46,9 +47,9 @@
     }
 
     /**
-     * What is known here of members that are gone, where another still passes on that they live.
-     * Guards against a leave that is taken for a crash, or a death unknown for long, by a view that
-     * one update has missed.
+     * Returns the recorded states of members that are dead or have left, where the sender still
+     * reports them as live. Guards against a view that missed one update and so takes a leave for a
+     * crash, or misses a death for a long time.
      */
     private List<MemberState> correctionsOf(List<MemberState> statements) {
         List<MemberState> corrections = new ArrayList<>();
@@ -65,8 +66,9 @@
     }
 
     /**
-     * Applies what the sender of a packet states about itself; empty if the packet is this member's
-     * own, is of an earlier run of the sender, or finds no room in the table.
+     * Applies the sender's own state from a packet and returns the sender's record; empty if the
+     * packet is this member's own or comes from an earlier run of the sender, or if the table is
+     * full.
      */
     private Optional<MemberRecord> identifySender(Packet packet) {
         if (packet.sender().equals(context.self.id())) {
@@ -77,7 +79,7 @@
         MemberRecord known = context.table.get(packet.sender());
         if (known == null) {
             Optional<MemberRecord> admitted = updates.admit(statement);
-            admitted.ifPresent(member -> heard(member, packet.endpoint()));
+            admitted.ifPresent(member -> recordHeard(member, packet.endpoint()));
             return admitted;
         }
         if (packet.incarnation().compareTo(known.state.incarnation()) > 0) {
@@ -87,18 +89,21 @@
             notify(known, packet.endpoint());
             return Optional.empty();
         }
-        heard(known, packet.endpoint());
+        recordHeard(known, packet.endpoint());
         return Optional.of(known);
     }
 
-    private void heard(MemberRecord member, Endpoint endpoint) {
+    private void recordHeard(MemberRecord member, Endpoint endpoint) {
         member.lastHeardAt = context.now();
         if (member.state.status() == MemberStatus.DEAD) {
             notify(member, endpoint);
         }
     }
 
-    /** Guards against a member that runs, or runs anew, and never hears that it is held dead. */
+    /**
+     * Sends a member its recorded status. Guards against a member that is running, or has
+     * restarted, and never learns that others consider it dead.
+     */
     private void notify(MemberRecord member, Endpoint endpoint) {
         if (mayNotify(member)) {
             sendGossip(endpoint, List.of(member.state.withoutMetadata()));
@@ -113,12 +118,12 @@
         context.host.send(endpoint, context.packet(new Message.Gossip(statements)));
     }
 
-    /** Applies what the member that answered a call states about itself. */
+    /** Applies the sender's own state from the answer to a call. */
     void identifyAnswerer(Packet answer) {
         identifySender(answer);
     }
 
-    /** Handles a call over a stream, which is answered in any case. */
+    /** Handles a call over a stream and always answers it. */
     void callReceived(MembershipEvent.CallReceived call) {
         identifySender(call.packet());
         Message answer =
--- a/src/main/java/cairnbridge/fleet/membership/MetadataAnnouncer.java
+++ b/src/main/java/cairnbridge/fleet/membership/MetadataAnnouncer.java
@@ -6,23 +6,25 @@
 
 /** Decides when this member announces changed metadata. */
 final class MetadataAnnouncer {
-    /** How many members of a fleet announce new metrics in a second, all together. */
+    /** Target rate of metrics announcements in the whole fleet. */
     private static final double ANNOUNCEMENTS_PER_SECOND = 20;
 
-    /** On average this many members announce out of turn that a zone cannot be reached. */
+    /**
+     * Mean number of members that announce an unreachable zone without waiting for their interval.
+     */
     private static final int URGENT_ANNOUNCERS = 120;
 
     private static final long NOT_SCHEDULED = Long.MAX_VALUE;
 
     private final SwimContext context;
 
-    /** What the member wants to announce; null before it is first set. */
+    /** The metadata to announce; null before it is first set. */
     private MemberMetadata desired;
 
     private long announcedAt;
     private long scheduledAt = NOT_SCHEDULED;
 
-    /** The unreachable zones for which this member has drawn whether it announces urgently. */
+    /** The unreachable zones for which {@link #urgent} was drawn. */
     private List<Long> drawnZones = List.of();
 
     private boolean urgent;
@@ -31,15 +33,15 @@
         this.context = context;
     }
 
-    /** Sets what others are to know from now on. */
+    /** Sets the metadata to announce. */
     void announce(MemberMetadata metadata) {
         desired = metadata;
         announceWhenDue();
     }
 
     /**
-     * Metrics wait for their time, so that a large fleet does not exchange nothing else; everything
-     * else is announced at once.
+     * Announces changed metrics at intervals, so that they do not dominate the gossip of a large
+     * fleet, and all other changes at once.
      */
     private void announceWhenDue() {
         MemberMetadata announced = context.self.state().metadata();
@@ -85,8 +87,9 @@
     }
 
     /**
-     * That a zone cannot be reached is announced out of turn, in a large fleet by some members:
-     * enough of them to outweigh what others announced a moment ago.
+     * Whether a change of the unreachable zones is announced without waiting for the interval. In a
+     * large fleet only a random sample of members does so: enough to outweigh what others announced
+     * a moment ago.
      */
     private boolean isUrgent(MemberMetadata announced) {
         List<Long> zones = desired.metrics().reachability().unreachableZones();
--- a/src/main/java/cairnbridge/fleet/membership/ProbeSchedule.java
+++ b/src/main/java/cairnbridge/fleet/membership/ProbeSchedule.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.Random;
 
-/** The order in which members are probed: rounds in random order, each member once in a round. */
+/** The order in which members are probed: rounds in random order, each member once per round. */
 final class ProbeSchedule {
     private final SwimContext context;
     private final List<MemberRecord> round = new ArrayList<>();
@@ -17,8 +17,8 @@
     }
 
     /**
-     * Adds a member at a random place of the rest of the round: guards against a newcomer that all
-     * others probe at the same time.
+     * Adds a member at a random position in the rest of the round. Guards against a new member that
+     * all others probe at the same time.
      */
     void add(MemberRecord member) {
         round.add(member);
@@ -26,7 +26,7 @@
         Collections.swap(round, position + context.random.nextInt(last - position + 1), last);
     }
 
-    /** The live member that is probed next; empty if there is none. */
+    /** The next live member to probe; empty if there is none. */
     Optional<MemberRecord> next() {
         for (int rounds = 0; rounds < 2; ) {
             if (position >= round.size()) {
--- a/src/main/java/cairnbridge/fleet/membership/Suspicion.java
+++ b/src/main/java/cairnbridge/fleet/membership/Suspicion.java
@@ -5,11 +5,11 @@
 import java.util.Set;
 
 /**
- * When a suspect member is to be declared dead: the more members suspect it independently, the
- * sooner (Lifeguard).
+ * A suspicion of a member and its deadline: the more members report it independently, the earlier
+ * the member is declared dead (Lifeguard).
  */
 final class Suspicion {
-    /** How long a suspicion lasts with all confirmations and with none. */
+    /** The timeout of a suspicion with all expected confirmations, and with none. */
     record Timeouts(long min, long max) {}
 
     private final long startedAt;
@@ -19,10 +19,11 @@
     private long pausedFor;
 
     /**
-     * A suspicion that begins now.
+     * Creates a suspicion that starts now.
      *
-     * @param wantedConfirmations this many further reporters bring the timeout down to its minimum
-     * @param reporter who suspects the member first
+     * @param expectedConfirmations number of further reporters that reduce the timeout to its
+     *     minimum
+     * @param reporter the member that reports the suspicion first
      */
     Suspicion(long now, Timeouts timeouts, int wantedConfirmations, MemberId reporter) {
         this.startedAt = now;
@@ -31,12 +32,15 @@
         reporters.add(reporter);
     }
 
-    /** Adds a reporter; true if it is a new one and shortens the timeout. */
+    /** Adds a reporter; true if it is new and shortens the timeout. */
     boolean confirm(MemberId reporter) {
         return reporters.size() <= expectedConfirmations && reporters.add(reporter);
     }
 
-    /** Guards against deaths by a clock that ran while this member could hear nobody. */
+    /**
+     * Extends the timeout by the length of a pause. Guards against deaths declared because time
+     * passed while this process could not receive refutations.
+     */
     void extendBy(long pause) {
         pausedFor += pause;
     }
--- a/src/main/java/cairnbridge/fleet/membership/SuspicionTracker.java
+++ b/src/main/java/cairnbridge/fleet/membership/SuspicionTracker.java
@@ -6,18 +6,21 @@
 import cairnbridge.fleet.membership.MembershipHost.StatusChangeReason;
 import cairnbridge.time.Ticks;
 
-/** Members under suspicion, from the first report until they refute it or are declared dead. */
+/** Tracks suspect members from the first report until they refute it or are declared dead. */
 final class SuspicionTracker {
-    /** On average this many of the members that hear of a suspicion probe the suspect at once. */
+    /** Mean number of members that probe a suspect as soon as they receive the suspicion. */
     private static final int CONFIRMING_MEMBERS = 5;
 
-    /** This many further reporters bring the timeout of a suspicion down to its minimum. */
+    /** Number of further reporters that reduce the timeout of a suspicion to its minimum. */
     private static final int MAX_CONFIRMATIONS = 3;
 
-    /** Probes are more frequent while a member became suspect within this time, ... */
+    /** Probes are more frequent for this long after a member became suspect. */
     private static final long RECENT_SUSPICION = 2 * Ticks.SECOND;
 
-    /** ... by this factor, and for this long at most. */
+    /**
+     * The factor by which probes are more frequent; applies for {@link #MAX_FAST_PROBING_TIME} at
+     * most.
+     */
     private static final int FAST_PROBE_FACTOR = 3;
 
     private static final long MAX_FAST_PROBING_TIME = 5 * Ticks.SECOND;
@@ -34,13 +37,15 @@
     }
 
     /**
-     * The present interval between probes. Guards against a third of a fleet that dies at once, of
-     * which the last would be probed seconds after the first: a suspicion is seldom alone. The
-     * short interval does not last, as in a large fleet in trouble somebody is always suspect.
+     * The current probe interval, which is shorter after a recent suspicion because failures tend
+     * to come together. Guards against slow detection when a third of a fleet dies at once: at the
+     * normal interval, the last of them would be probed seconds after the first. The short interval
+     * is limited in time, because a large fleet with network problems always has a suspect member.
      */
     long probeInterval() {
         long interval = context.settings.probeInterval();
-        boolean fast = wasSuspicionRecent() && context.now() - suspicionsSince < MAX_FAST_PROBING_TIME;
+        boolean fast =
+                wasSuspicionRecent() && context.now() - suspicionsSince < MAX_FAST_PROBING_TIME;
         return fast ? interval / FAST_PROBE_FACTOR : interval;
     }
 
@@ -48,7 +53,7 @@
         return context.now() - lastSuspicionAt < RECENT_SUSPICION;
     }
 
-    /** How long a suspicion lasts that many members confirm. */
+    /** The timeout of a suspicion that enough members confirm. */
     long minTimeout() {
         double digits = Math.max(1, Math.log10(context.liveCountWithSelf()));
         return (long)
@@ -57,7 +62,7 @@
                         * context.settings.probeInterval());
     }
 
-    /** A member did not answer, or another one reports that. */
+    /** Records that a member did not answer a probe, or that another member reports so. */
     void suspect(MemberRecord member, MemberState report) {
         MemberState before = member.state;
         MemberId reporter = report.reportedBy() == null ? member.id : report.reportedBy();
@@ -83,8 +88,8 @@
     private Suspicion newSuspicion(MemberId reporter) {
         long min = minTimeout();
         long max = (long) (min * context.settings.maxSuspicionMultiplier());
-        int wanted = Math.min(MAX_CONFIRMATIONS, context.liveCountWithSelf() - 3);
-        return new Suspicion(context.now(), new Suspicion.Timeouts(min, max), wanted, reporter);
+        int expected = Math.min(MAX_CONFIRMATIONS, context.liveCountWithSelf() - 3);
+        return new Suspicion(context.now(), new Suspicion.Timeouts(min, max), expected, reporter);
     }
 
     private void confirm(MemberRecord member, MemberState report, MemberId reporter) {
@@ -110,9 +115,9 @@
     }
 
     /**
-     * Guards against a death for want of one update: of some hundred refutations each misses a view
-     * where a tenth of all datagrams is lost. Who holds a suspect for long asks it, again and
-     * again, until its time is up.
+     * Pings a suspect repeatedly until its suspicion ends. Guards against a false death because of
+     * one lost update: where a tenth of all datagrams is lost, each of some hundred refutations
+     * fails to reach some view by gossip.
      */
     private void requestRefutation(MemberRecord member, Suspicion suspicion) {
         if (member.hasSuspicion(suspicion) && !context.self.hasLeft()) {
@@ -134,7 +139,7 @@
                 });
     }
 
-    /** Declares a member dead in the incarnation that the statement is about. */
+    /** Declares a member dead in the incarnation of the statement. */
     void declareDead(MemberRecord member, MemberState statement, StatusChangeReason reason) {
         MemberState before = member.state;
         MemberState after =
@@ -153,7 +158,10 @@
         }
     }
 
-    /** This process stood still: no suspect could be heard meanwhile. */
+    /**
+     * Extends all suspicions by a pause of this process, during which it could not receive
+     * refutations.
+     */
     void extendAllBy(long pause) {
         for (MemberRecord member : context.table.live()) {
             member.suspicion()
--- a/src/main/java/cairnbridge/fleet/membership/SwimContext.java
+++ b/src/main/java/cairnbridge/fleet/membership/SwimContext.java
@@ -8,7 +8,10 @@
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
 
-/** What the parts of the membership protocol share: settings, time, table and queues. */
+/**
+ * State shared by the components of the membership protocol: settings, clock, timers, table and
+ * queues.
+ */
 final class SwimContext {
     final SwimSettings settings;
     final MembershipHost host;
@@ -35,9 +38,9 @@
         return now;
     }
 
-    /** Moves the clock on; it never goes back. */
-    void advanceTo(long clock) {
-        now = Math.max(now, clock);
+    /** Advances the clock; an earlier time than the current one is ignored. */
+    void advanceTo(long time) {
+        now = Math.max(now, time);
     }
 
     /** Runs an action after a delay. */
@@ -50,35 +53,35 @@
         return 1 + random.nextLong(bound);
     }
 
-    /** Notes that the status of some member has changed now. */
+    /** Records that the status of a member has changed now. */
     void markStatusChanged() {
         statusChangedAt = now;
     }
 
-    /** For how long no member's status has changed. */
+    /** Time since a member's status last changed. */
     long stableFor() {
         return now - statusChangedAt;
     }
 
-    /** How many members are live, this one included unless it has left. */
+    /** Number of live members, this one included unless it has left. */
     int liveCountWithSelf() {
         return table.live().size() + (self.hasLeft() ? 0 : 1);
     }
 
-    /** A hash of the whole view, this member included. */
+    /** Hash of the whole view, this member included. */
     long viewDigest() {
         return table.digest() ^ MemberDigest.of(self.state());
     }
 
-    /** A message with what this member states about itself. */
+    /** Wraps a message in a packet with this member's id, endpoint, incarnation and view digest. */
     Packet packet(Message message) {
         MemberState own = self.state();
         return new Packet(own.id(), own.endpoint(), own.incarnation(), viewDigest(), message);
     }
 
     /**
-     * Updates for a message to a member: first what is said about the receiver unless that is well,
-     * then as many pending ones as fit.
+     * Updates for a message to a member: first the receiver's recorded state unless it is alive, so
+     * that the receiver can refute it, then as many pending updates as fit.
      */
     List<MemberState> updatesFor(MemberRecord receiver) {
         return receiver == null || receiver.state.status() == MemberStatus.ALIVE
@@ -96,7 +99,7 @@
         return settings.maxDatagramBytes() - Packet.MAX_HEADER_BYTES;
     }
 
-    /** How often each update is sent. */
+    /** Number of times each update is sent. */
     private int maxTransmissions() {
         int digits = (int) Math.ceil(Math.log10(liveCountWithSelf() + 1.0));
         return settings.retransmitMultiplier() * digits;
--- a/src/main/java/cairnbridge/fleet/membership/SwimProtocol.java
+++ b/src/main/java/cairnbridge/fleet/membership/SwimProtocol.java
@@ -11,15 +11,19 @@
 import java.util.Optional;
 
 /**
- * One member's view of its fleet, as a state machine. Call {@link #start} once, {@link #handle} for
- * every event and {@link #fireTimers} whenever {@link #nextTimer} has come; the protocol answers by
- * calls on its host before it returns. The package description names the protocol and its sources.
+ * The membership protocol of one member, as a state machine. Call {@link #start} once, {@link
+ * #handle} for every event and {@link #fireTimers} whenever {@link #nextTimer} is due. The protocol
+ * responds with calls on its host before these methods return. The package description names the
+ * protocol and its sources.
  */
 public final class SwimProtocol {
-    /** This many probe intervals without a call mean that the process stood still. */
+    /**
+     * The process counts as paused if the protocol is not called for more than this many probe
+     * intervals while a timer is due.
+     */
     private static final int PAUSE_INTERVALS = 2;
 
-    /** With this many members the view is compared after a pause. */
+    /** Number of members with which the view is compared after a pause. */
     private static final int COMPARISONS_AFTER_PAUSE = 2;
 
     private final SwimContext context;
@@ -39,16 +43,16 @@
      * @param remembered endpoints of members known from an earlier run, called after the seeds
      */
     public record Contacts(List<Endpoint> seeds, List<Endpoint> remembered) {
-        /** Seeds alone. */
+        /** Contacts without remembered members. */
         public static Contacts seeds(List<Endpoint> seeds) {
             return new Contacts(seeds, List.of());
         }
     }
 
     /**
-     * Makes a protocol that does nothing before it is started.
+     * Creates a protocol that is inactive until {@link #start}.
      *
-     * @param self what this member states about itself at first
+     * @param self this member's initial state
      * @param seed the seed of all random choices
      */
     public SwimProtocol(
@@ -72,7 +76,7 @@
         announcer = new MetadataAnnouncer(context);
     }
 
-    /** Begins to look for other members. */
+    /** Starts the protocol, which then joins the fleet through its contacts. */
     public void start(long now) {
         context.advanceTo(now);
         lastCalledAt = context.now();
@@ -117,12 +121,15 @@
         }
     }
 
-    /** When {@link #fireTimers} is to be called next; {@code Long.MAX_VALUE} for never. */
+    /** When {@link #fireTimers} is due next; {@code Long.MAX_VALUE} if no timer is pending. */
     public long nextTimer() {
         return context.timers.nextDue();
     }
 
-    /** Guards against a resumed process that takes its own silence for everybody's death. */
+    /**
+     * Guards against a resumed process that takes the silence during its own pause for the death of
+     * all other members.
+     */
     private void advanceTo(long now) {
         context.advanceTo(now);
         long pause = context.now() - lastCalledAt;
@@ -141,7 +148,7 @@
         antiEntropy.compareWithRandom(COMPARISONS_AFTER_PAUSE);
     }
 
-    /** A message from this member, with what it states about itself. */
+    /** Wraps a message in a packet with this member's id, endpoint, incarnation and view digest. */
     public Packet packet(Message message) {
         return context.packet(message);
     }
@@ -155,7 +162,7 @@
         return new MembershipView(self.id(), members, context.viewDigest(), statistics());
     }
 
-    /** The present state of the view, and what has been counted. */
+    /** The current state of the view, and event counts. */
     public MembershipStatistics statistics() {
         return new MembershipStatistics(
                 countMembers(),
@@ -178,27 +185,29 @@
         return new MembershipStatistics.Members(alive, suspect, context.table.dead().size(), left);
     }
 
-    /** How many members are live, this one included unless it has left. */
+    /** Number of live members, this one included unless it has left. */
     public int liveCount() {
         return context.liveCountWithSelf();
     }
 
-    /** How many member states are still to be passed on. */
+    /** Number of member states that wait for dissemination. */
     public int pendingUpdates() {
         return context.gossipQueue.size();
     }
 
-    /** Whether the view of another member has been received, or there is nobody to ask. */
+    /**
+     * Whether the view of another member has been received, or there is no contact to join through.
+     */
     public boolean hasJoined() {
         return antiEntropy.hasJoined();
     }
 
-    /** What this member states about itself. */
+    /** This member's own state. */
     public MemberState self() {
         return context.self.state();
     }
 
-    /** What is known of one member, this one included; empty if it is not known. */
+    /** The state of a member, this one included; empty if unknown. */
     public Optional<MemberState> stateOf(MemberId id) {
         if (id.equals(context.self.id())) {
             return Optional.of(context.self.state());
--- a/src/main/java/cairnbridge/fleet/membership/SwimSettings.java
+++ b/src/main/java/cairnbridge/fleet/membership/SwimSettings.java
@@ -5,27 +5,27 @@
 /**
  * The parameters of the membership protocol. Durations are in {@link Ticks}, sizes in bytes.
  *
- * @param probeInterval one member is pinged in each interval; it is longer while the local health
- *     is bad
- * @param probeTimeout after this long without an answer other members are asked to ping as well
- * @param indirectProbes how many others are asked
- * @param gossipInterval updates are sent at least this often
- * @param fanout to how many members they are sent each time
+ * @param probeInterval time between two probes; longer while the local health is bad
+ * @param probeTimeout time without an answer after which other members are asked to ping as well
+ * @param indirectProbes number of other members asked to ping
+ * @param gossipInterval time between two gossip rounds
+ * @param fanout number of members that receive gossip in each round
  * @param retransmitMultiplier an update is sent this many times the number of decimal digits of the
  *     fleet's size
  * @param suspicionMultiplier a suspicion lasts this many probe intervals times the decimal
  *     logarithm of the fleet's size
- * @param maxSuspicionMultiplier and this many times as long where nobody confirms it
- * @param antiEntropyInterval how often whole views are compared in a small fleet; less often in a
- *     large one
- * @param deadProbeInterval how often one of the dead members is pinged
+ * @param maxSuspicionMultiplier factor by which a suspicion lasts longer if no other member
+ *     confirms it
+ * @param antiEntropyInterval time between two comparisons of whole views in a small fleet; longer
+ *     in a large one
+ * @param deadProbeInterval time between two pings of dead members
  * @param deadRetention how long dead members are remembered
  * @param leftRetention how long members that left are remembered, so that older statements do not
  *     bring them back
- * @param metricsInterval a member announces new metrics at most this often; less often in a large
- *     fleet
- * @param maxMembers the most members of a view
- * @param maxDatagramBytes the size of a datagram, at most
+ * @param metricsInterval minimum time between two announcements of a member's metrics; longer in a
+ *     large fleet
+ * @param maxMembers maximum number of members in a view
+ * @param maxDatagramBytes maximum size of a datagram
  */
 public record SwimSettings(
         long probeInterval,
@@ -44,15 +44,15 @@
         int maxMembers,
         int maxDatagramBytes) {
 
-    /** For fleets of up to some thousand members that share their networks. */
+    /** Settings for fleets of up to some thousand members on shared networks. */
     public static final SwimSettings DEFAULT = builder().build();
 
-    /** Settings that are as in {@link #DEFAULT} until they are set otherwise. */
+    /** Creates a builder whose initial values are those of {@link #DEFAULT}. */
     public static Builder builder() {
         return new Builder();
     }
 
-    /** Collects the settings that differ from the default; see the record's components. */
+    /** Builds settings that differ from the default; the record's components describe them. */
     public static final class Builder {
         private static final int INDIRECT_PROBES = 3;
         private static final int FANOUT = 3;
@@ -73,45 +73,45 @@
 
         private Builder() {}
 
-        /** How often a member is pinged, and how long its answer is waited for. */
+        /** Sets the probe interval and the probe timeout. */
         public Builder probes(long interval, long timeout) {
             probeInterval = interval;
             probeTimeout = timeout;
             return this;
         }
 
-        /** How often updates are sent. */
+        /** Sets the gossip interval. */
         public Builder gossipInterval(long interval) {
             gossipInterval = interval;
             return this;
         }
 
-        /** How often whole views are compared. */
+        /** Sets the interval of comparisons of whole views. */
         public Builder antiEntropyInterval(long interval) {
             antiEntropyInterval = interval;
             return this;
         }
 
-        /** How long dead members and members that left are remembered. */
+        /** Sets how long dead members and members that left are remembered. */
         public Builder retention(long dead, long left) {
             deadRetention = dead;
             leftRetention = left;
             return this;
         }
 
-        /** The most members of a view. */
+        /** Sets the maximum number of members in a view. */
         public Builder maxMembers(int members) {
             maxMembers = members;
             return this;
         }
 
-        /** The size of a datagram, at most. */
+        /** Sets the maximum size of a datagram. */
         public Builder maxDatagramBytes(int bytes) {
             maxDatagramBytes = bytes;
             return this;
         }
 
-        /** The settings. */
+        /** Creates the settings. */
         public SwimSettings build() {
             return new SwimSettings(
                     probeInterval,
--- a/src/test/java/cairnbridge/fleet/coordination/CoordinationTest.java
+++ b/src/test/java/cairnbridge/fleet/coordination/CoordinationTest.java
@@ -30,21 +30,21 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-/** What the view is used for: one story for each way in which it could do harm. */
+/** Tests the uses of the membership view, each against a way in which it could do harm. */
 class CoordinationTest {
     private static final long SECOND = 10_000;
     private final List<MemberState> members = new ArrayList<>();
 
     private CoordinationTest member(
-            int number, String zone, MemberStatus standing, boolean listing, Long... unreachable) {
-        MemberMetadata told =
+            int number, String zone, MemberStatus status, boolean watching, Long... unreachable) {
+        MemberMetadata metadata =
                 MemberMetadata.builder()
                         .location(zone, "r")
                         .protocolVersion(2)
                         .metrics(
                                 new MemberMetrics(
                                         new MemberMetrics.Load(0, 0, 0),
-                                        new MemberMetrics.EndpointListStatus(0, listing),
+                                        new MemberMetrics.EndpointListStatus(0, watching),
                                         new MemberMetrics.Reachability(
                                                 List.of(unreachable), List.of(), List.of())))
                         .build();
@@ -53,10 +53,10 @@
                         new MemberId("p" + number),
                         new Endpoint("10.0.0.1", 1000 + number),
                         new Incarnation(1, 0),
-                        standing,
+                        status,
                         null,
                         1,
-                        told));
+                        metadata));
         return this;
     }
 
@@ -74,7 +74,8 @@
         return view;
     }
 
-    private static int lastCount(LiveProxyCount count, MembershipView view, long from, int seconds) {
+    private static int lastCount(
+            LiveProxyCount count, MembershipView view, long from, int seconds) {
         int last = 0;
         for (long now = from; now <= from + seconds * SECOND; now += SECOND / 2) {
             last = count.update(view, now);
@@ -89,14 +90,14 @@
         assertEquals(
                 30,
                 lastCount(count, members(1, 30, "a").view(), 0, 8),
-                "a fleet that has grown beyond its size");
+                "a fleet larger than configured");
         MembershipView fewer = members(1, 12, "a").view();
         int soon = lastCount(count, fewer, 8 * SECOND, 1);
-        assertTrue(soon > 25, soon + " a second after the deaths");
+        assertTrue(soon > 25, soon + " one second after the deaths");
         assertEquals(12, lastCount(count, fewer, 9 * SECOND, 40));
     }
 
-    /** Guards against two halves that each take all. */
+    /** Guards against two partitions that each claim the whole quota. */
     @Test
     void minorityPartitionCountsAtLeastHalfTheConfiguredProxies() {
         LiveProxyCount count = new LiveProxyCount(20, 0);
@@ -105,7 +106,7 @@
 
     @Test
     void nodeUnreachableForMostOfAZoneIsReportedOnce() {
-        NodeSuspicions hints = new NodeSuspicions("a");
+        NodeSuspicions suspicions = new NodeSuspicions("a");
         member(1, "a", MemberStatus.ALIVE, false, 7L)
                 .member(2, "a", MemberStatus.ALIVE, false, 7L, 8L)
                 .member(3, "a", MemberStatus.ALIVE, false, 7L)
@@ -117,37 +118,37 @@
         MembershipView view = view();
         assertEquals(
                 List.of(7L),
-                hints.newSuspicions(view),
-                "8 is said by one, and by dead ones; 9 by another zone");
-        assertEquals(List.of(), hints.newSuspicions(view));
-        assertEquals(List.of(), hints.newSuspicions(members(1, 4, "a").view()));
-        assertEquals(List.of(7L), hints.newSuspicions(view), "it has been within reach meanwhile");
+                suspicions.newSuspicions(view),
+                "node 8 is reported by one live and by dead members, 9 by another zone");
+        assertEquals(List.of(), suspicions.newSuspicions(view));
+        assertEquals(List.of(), suspicions.newSuspicions(members(1, 4, "a").view()));
+        assertEquals(List.of(7L), suspicions.newSuspicions(view), "reachable again in between");
     }
 
     @Test
     void twoMembersAreTooFewToSuspectANode() {
-        NodeSuspicions hints = new NodeSuspicions("a");
+        NodeSuspicions suspicions = new NodeSuspicions("a");
         member(1, "a", MemberStatus.ALIVE, false, 7L).member(2, "a", MemberStatus.ALIVE, false, 7L);
-        assertEquals(List.of(), hints.newSuspicions(view()));
+        assertEquals(List.of(), suspicions.newSuspicions(view()));
     }
 
     @Test
     void nodeIsUnreachableAfterTwoFailuresUntilASuccessOrExpiry() {
-        ReachabilityReport reach = new ReachabilityReport(2);
-        reach.record(1, false, 0);
-        reach.record(2, false, 0);
-        reach.record(2, false, 10);
-        assertEquals(List.of(2L), reach.unreachable(20));
-        reach.record(2, true, 30);
-        reach.record(1, false, 40);
-        assertEquals(List.of(1L), reach.unreachable(50));
-        assertEquals(List.of(), reach.unreachable(50 + 11 * SECOND));
+        ReachabilityReport report = new ReachabilityReport(2);
+        report.record(1, false, 0);
+        report.record(2, false, 0);
+        report.record(2, false, 10);
+        assertEquals(List.of(2L), report.unreachable(20));
+        report.record(2, true, 30);
+        report.record(1, false, 40);
+        assertEquals(List.of(1L), report.unreachable(50));
+        assertEquals(List.of(), report.unreachable(50 + 11 * SECOND));
         for (long node = 0; node < 100; node++) {
-            reach.record(node, false, 60);
-            reach.record(node, false, 61 + node);
+            report.record(node, false, 60);
+            report.record(node, false, 61 + node);
         }
-        assertEquals(100, reach.unreachable(200).size());
-        MemberMetadata told =
+        assertEquals(100, report.unreachable(200).size());
+        MemberMetadata metadata =
                 MemberMetadata.builder()
                         .location("a", "r")
                         .protocolVersion(2)
@@ -156,17 +157,18 @@
                                         new MemberMetrics.Load(0, 0, 0),
                                         new MemberMetrics.EndpointListStatus(0, true),
                                         new MemberMetrics.Reachability(
-                                                reach.unreachable(200), List.of(), List.of())))
+                                                report.unreachable(200), List.of(), List.of())))
                         .build();
         assertEquals(
                 MemberMetadata.MAX_UNREACHABLE_NODES,
-                told.metrics().reachability().unreachableNodes().size(),
-                "as many as are told");
+                metadata.metrics().reachability().unreachableNodes().size(),
+                "number of announced nodes");
     }
 
     /**
-     * Guards against a lost zone of many caches, of which a proxy meets each too seldom to find it
-     * out, and against one that is given its traffic back because nobody has tried it for a while.
+     * Guards against a failed zone that stays undetected because a proxy uses each of its many
+     * caches too rarely, and against a failed zone that gets its traffic back because no proxy has
+     * tried it for a while.
      */
     @Test
     void zoneIsUnreachableAfterFourFailuresWhileItsProbesFail() {
@@ -175,10 +177,10 @@
                         JsonObject.parse(
                                 "{\"domain\":{\"mode\":\"aside\"," + "\"origin-kind\":1}}",
                                 "settings"));
-        FleetLoadCounters tally = new FleetLoadCounters(List.of("a", "b"), settings, 0);
-        List<Event.Endpoint> entries = new ArrayList<>();
+        FleetLoadCounters counters = new FleetLoadCounters(List.of("a", "b"), settings, 0);
+        List<Event.Endpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            entries.add(
+            endpoints.add(
                     new Event.Endpoint(
                             new NodeId(i),
                             Event.NodeState.READY,
@@ -188,11 +190,12 @@
                             new CellId(0),
                             new ZoneId(i < 10 ? 0 : 1)));
         }
-        tally.endpointListChanged(new Event.EndpointListReceived(Event.ListScope.FULL, 1, entries));
+        counters.endpointListChanged(
+                new Event.EndpointListReceived(Event.ListScope.FULL, 1, endpoints));
         for (int i = 0; i < 8; i++) {
-            tally.attemptEnded(
+            counters.attemptEnded(
                     new NodeId(i), 0, Event.AttemptOutcome.CONNECT_FAILED, 10, 5_000, SECOND + i);
-            tally.attemptEnded(
+            counters.attemptEnded(
                     new NodeId(10 + i),
                     0,
                     i == 3 ? Event.AttemptOutcome.SUCCESS : Event.AttemptOutcome.CONNECTION_LOST,
@@ -200,31 +203,34 @@
                     5_000,
                     SECOND + i);
         }
-        tally.publish(2 * SECOND);
-        assertEquals(List.of(), tally.reachability().unreachableNodes(), "each cache was met once");
+        counters.publish(2 * SECOND);
+        assertEquals(
+                List.of(),
+                counters.reachability().unreachableNodes(),
+                "each cache failed once only");
         assertEquals(
                 List.of(Fnv1a.hash("b"), Fnv1a.hash("a")).stream().sorted().toList(),
-                tally.reachability().unreachableZones().stream().sorted().toList());
-        tally.probeEnded(new NodeId(12), Event.AttemptOutcome.SUCCESS, 2 * SECOND);
+                counters.reachability().unreachableZones().stream().sorted().toList());
+        counters.probeEnded(new NodeId(12), Event.AttemptOutcome.SUCCESS, 2 * SECOND);
         for (int i = 0; i < 8; i++) {
-            tally.probeEnded(new NodeId(i), Event.AttemptOutcome.CONNECT_FAILED, 2 * SECOND);
+            counters.probeEnded(new NodeId(i), Event.AttemptOutcome.CONNECT_FAILED, 2 * SECOND);
         }
         for (long now = 3 * SECOND; now < 60 * SECOND; now += SECOND / 4) {
-            tally.publish(now);
-            for (NodeId node : tally.nodesToProbe(now)) {
-                tally.probeEnded(node, Event.AttemptOutcome.CONNECT_FAILED, now);
+            counters.publish(now);
+            for (NodeId node : counters.nodesToProbe(now)) {
+                counters.probeEnded(node, Event.AttemptOutcome.CONNECT_FAILED, now);
             }
-            assertEquals(List.of(Fnv1a.hash("a")), tally.reachability().unreachableZones());
+            assertEquals(List.of(Fnv1a.hash("a")), counters.reachability().unreachableZones());
         }
-        assertEquals(8, tally.reachability().unreachableNodes().size());
-        tally.endpointListChanged(
-                new Event.EndpointListReceived(Event.ListScope.FULL, 2, entries.subList(10, 20)));
-        tally.publish(60 * SECOND);
+        assertEquals(8, counters.reachability().unreachableNodes().size());
+        counters.endpointListChanged(
+                new Event.EndpointListReceived(Event.ListScope.FULL, 2, endpoints.subList(10, 20)));
+        counters.publish(60 * SECOND);
         assertEquals(
                 List.of(),
-                tally.reachability().unreachableNodes(),
-                "who is gone is not asked for ever");
-        assertEquals(List.of(), tally.reachability().unreachableZones());
+                counters.reachability().unreachableNodes(),
+                "removed nodes are forgotten");
+        assertEquals(List.of(), counters.reachability().unreachableZones());
     }
 
     @Test
@@ -232,40 +238,41 @@
         MembershipView before = members(1, 12, "a").view();
         MembershipView after = members(2, 12, "a").member(1, "a", MemberStatus.DEAD, false).view();
         Map<MemberId, Integer> shares = new TreeMap<>();
-        for (long duty = 0; duty < 600; duty++) {
-            MemberId owner = TaskAssignment.candidatesInOrder(before, "a", duty).get(0);
+        for (long task = 0; task < 600; task++) {
+            MemberId owner = TaskAssignment.candidatesInOrder(before, "a", task).get(0);
             shares.merge(owner, 1, Integer::sum);
             if (!owner.name().equals("p1")) {
-                assertEquals(owner, TaskAssignment.candidatesInOrder(after, "a", duty).get(0));
+                assertEquals(owner, TaskAssignment.candidatesInOrder(after, "a", task).get(0));
             }
         }
         assertEquals(12, shares.size());
         shares.forEach(
                 (id, share) ->
-                        assertTrue(share > 20 && share < 90, id + " has " + share + " of 600"));
+                        assertTrue(share > 20 && share < 90, id + " owns " + share + " of 600"));
     }
 
     /**
-     * Guards against a cache probed by two that each believe it is their duty, more than twice as
-     * often as planned.
+     * Guards against a cache that is probed more than twice as often as planned because two members
+     * each compute that they own its probes.
      */
     @Test
     void differingViewsAtMostDoubleTheProbeRateAndSkipNoNode() {
         List<Long> nodes = LongStream.range(0, 30).boxed().toList();
         MembershipView all = members(1, 8, "a").view();
-        MembershipView cut = members(1, 4, "a").view();
-        MembershipView cutOff = members(5, 8, "a").view();
+        MembershipView firstHalf = members(1, 4, "a").view();
+        MembershipView secondHalf = members(5, 8, "a").view();
         Map<Long, Integer> probes = new HashMap<>();
-        List<TaskAssignment> duties = new ArrayList<>();
+        List<TaskAssignment> assignments = new ArrayList<>();
         for (int i = 1; i <= 8; i++) {
-            duties.add(new TaskAssignment(new MemberId("p" + i), "a", 2 * SECOND));
+            assignments.add(new TaskAssignment(new MemberId("p" + i), "a", 2 * SECOND));
         }
         for (long now = 0; now < 60 * SECOND; now += SECOND / 2) {
             for (int i = 0; i < 8; i++) {
                 boolean split = now > 20 * SECOND && now < 40 * SECOND;
-                MembershipView held = !split ? all : i < 4 ? cut : cutOff;
-                duties.get(i)
-                        .dueTasks(held, nodes, now)
+                MembershipView view = !split ? all : i < 4 ? firstHalf : secondHalf;
+                assignments
+                        .get(i)
+                        .dueTasks(view, nodes, now)
                         .forEach(node -> probes.merge(node, 1, Integer::sum));
             }
         }
@@ -273,32 +280,33 @@
             int count = probes.getOrDefault(node, 0);
             assertTrue(
                     count >= 20 && count <= 60,
-                    count + " probes of node " + node + " in 60 s, 30 are planned");
+                    count + " probes of node " + node + " in 60 s, 30 expected");
         }
     }
 
     @Test
     void fewMembersPollDiscoveryUntilOneInTheZoneReceivesTheList() {
-        MembershipView away = members(1, 20, "a").view();
-        long callers =
+        MembershipView withoutList = members(1, 20, "a").view();
+        long pollingMembers =
                 LongStream.rangeClosed(1, 20)
                         .filter(
                                 i ->
                                         new DiscoveryPolling(new MemberId("p" + i), "a")
-                                                .mayPoll(away, 2_000))
+                                                .mayPoll(withoutList, 2_000))
                         .count();
-        assertEquals(3, callers);
-        MembershipView back = members(1, 20, "a").member(21, "a", MemberStatus.ALIVE, true).view();
-        MembershipView elsewhere =
+        assertEquals(3, pollingMembers);
+        MembershipView withList =
+                members(1, 20, "a").member(21, "a", MemberStatus.ALIVE, true).view();
+        MembershipView listInOtherZone =
                 members(1, 20, "a").member(21, "b", MemberStatus.ALIVE, true).view();
-        int quiet = 0;
+        int notPolling = 0;
         for (int i = 1; i <= 20; i++) {
-            DiscoveryPolling calls = new DiscoveryPolling(new MemberId("p" + i), "a");
-            assertTrue(calls.mayPoll(back, 2_000));
-            assertTrue(calls.mayPoll(away, 31_000), "nobody waits for ever");
-            quiet += calls.mayPoll(elsewhere, 2_000) ? 0 : 1;
+            DiscoveryPolling polling = new DiscoveryPolling(new MemberId("p" + i), "a");
+            assertTrue(polling.mayPoll(withList, 2_000));
+            assertTrue(polling.mayPoll(withoutList, 31_000), "polls after the maximum interval");
+            notPolling += polling.mayPoll(listInOtherZone, 2_000) ? 0 : 1;
         }
-        assertEquals(17, quiet, "another zone's agent says nothing of this one's");
+        assertEquals(17, notPolling, "a list in another zone does not count");
         assertFalse(members.contains(null));
     }
 }
--- a/src/test/java/cairnbridge/fleet/coordination/TaskAssignmentPropertyTest.java
+++ b/src/test/java/cairnbridge/fleet/coordination/TaskAssignmentPropertyTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * After any sequence of views and nodes, due gives what its plain definition gives.
- * -Dduties.courses=N plays more of them.
+ * Compares {@link TaskAssignment#dueTasks} with a reference implementation, for random sequences of
+ * views and task lists. -Dduties.courses=N sets the number of runs.
  */
 class TaskAssignmentPropertyTest {
     private static final int RUNS = Integer.getInteger("duties.courses", 300);
@@ -28,49 +28,54 @@
     private static final int STEPS_PER_RUN = 60;
     private static final long INTERVAL = 20_000;
 
-    /** The first four, one of them this member, have the same hash: equal weights are met. */
+    /**
+     * The first four names, one of them that of the tested member, have the same hash, so that
+     * equal weights occur.
+     */
     private static final List<String> NAMES =
             List.of("AaAa", "AaBB", "BBAa", "BBBB", "p0", "p1", "p2", "p3", "p4", "p5", "p6");
 
     private int totalDue;
 
-    /** The definition: all members are weighed for every node, in every call. */
+    /**
+     * Reference implementation: computes the weights of all members for every task in every call.
+     */
     private static final class ReferenceAssignment {
         private final Map<Long, Long> doneAt = new HashMap<>();
 
-        List<Long> dueTasks(MembershipView view, List<Long> nodes, long now) {
-            doneAt.keySet().retainAll(nodes);
+        List<Long> dueTasks(MembershipView view, List<Long> tasks, long now) {
+            doneAt.keySet().retainAll(tasks);
             List<Long> due = new ArrayList<>();
-            for (long node : nodes) {
-                if (!TaskFleet.SELF.equals(owner(view, node))) {
-                    doneAt.remove(node);
-                } else if (now - doneAt.computeIfAbsent(node, id -> now) >= INTERVAL) {
-                    doneAt.put(node, now);
-                    due.add(node);
+            for (long task : tasks) {
+                if (!TaskFleet.SELF.equals(owner(view, task))) {
+                    doneAt.remove(task);
+                } else if (now - doneAt.computeIfAbsent(task, id -> now) >= INTERVAL) {
+                    doneAt.put(task, now);
+                    due.add(task);
                 }
             }
             return due;
         }
 
-        private static MemberId owner(MembershipView view, long node) {
+        private static MemberId owner(MembershipView view, long task) {
             return view.members().stream()
                     .filter(ReferenceAssignment::isEligible)
                     .map(MemberState::id)
                     .min(
                             Comparator.comparing(
                                             (MemberId id) ->
-                                                    SplitMix64.mix(id.name().hashCode(), node))
+                                                    SplitMix64.mix(id.name().hashCode(), task))
                                     .reversed()
                                     .thenComparing(Comparator.naturalOrder()))
                     .orElse(null);
         }
 
-        private static boolean isEligible(MemberState claim) {
-            return claim.status().isLive()
-                    && claim.metadata() != null
-                    && claim.metadata().zone().equals(TaskFleet.ZONE)
+        private static boolean isEligible(MemberState member) {
+            return member.status().isLive()
+                    && member.metadata() != null
+                    && member.metadata().zone().equals(TaskFleet.ZONE)
                     && List.of(MemberMetadata.Lifecycle.SERVING, MemberMetadata.Lifecycle.STANDBY)
-                            .contains(claim.metadata().lifecycle());
+                            .contains(member.metadata().lifecycle());
         }
     }
 
@@ -79,29 +84,30 @@
         for (long seed = FIRST_SEED; seed < FIRST_SEED + RUNS; seed++) {
             run(seed);
         }
-        assertTrue(totalDue > 10 * RUNS, totalDue + " due in all courses");
+        assertTrue(totalDue > 10 * RUNS, totalDue + " due in all runs");
     }
 
     private void run(long seed) {
         Random random = new Random(seed);
-        TaskAssignment duties = new TaskAssignment(TaskFleet.SELF, TaskFleet.ZONE, INTERVAL);
-        ReferenceAssignment plain = new ReferenceAssignment();
+        TaskAssignment assignment = new TaskAssignment(TaskFleet.SELF, TaskFleet.ZONE, INTERVAL);
+        ReferenceAssignment reference = new ReferenceAssignment();
         TaskFleet fleet = new TaskFleet();
         NAMES.forEach(name -> fleet.alive(name, TaskFleet.ZONE));
         MembershipView view = fleet.view();
-        List<Long> nodes = LongStream.range(0, 12).boxed().toList();
+        List<Long> tasks = LongStream.range(0, 12).boxed().toList();
         long now = 0;
         for (int step = 0; step < STEPS_PER_RUN; step++) {
             if (random.nextInt(3) == 0) {
-                nodes = LongStream.range(0, 20).filter(i -> random.nextInt(3) > 0).boxed().toList();
+                tasks = LongStream.range(0, 20).filter(i -> random.nextInt(3) > 0).boxed().toList();
             }
             if (random.nextInt(3) > 0) {
                 change(fleet, random);
                 view = fleet.view();
             }
             now += random.nextLong(INTERVAL);
-            List<Long> due = plain.dueTasks(view, nodes, now);
-            assertEquals(due, duties.dueTasks(view, nodes, now), "seed " + seed + ", step " + step);
+            List<Long> due = reference.dueTasks(view, tasks, now);
+            assertEquals(
+                    due, assignment.dueTasks(view, tasks, now), "seed " + seed + ", step " + step);
             totalDue += due.size();
         }
     }
--- a/src/test/java/cairnbridge/fleet/coordination/TaskAssignmentWorkTest.java
+++ b/src/test/java/cairnbridge/fleet/coordination/TaskAssignmentWorkTest.java
@@ -13,8 +13,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Counts the work of a call of due: passes over the view and weights computed. A view that has not
- * changed costs neither; a new view costs one pass and the weights of what has changed in it.
+ * Counts the work of {@link TaskAssignment#dueTasks}: passes over the view and computed weights. An
+ * unchanged view costs neither; a new view costs one pass and the weights of what has changed in
+ * it.
  */
 class TaskAssignmentWorkTest {
     private static final long INTERVAL = 20_000;
@@ -31,102 +32,102 @@
                         passes++;
                         return TaskAssignment.eligibleMembers(view, zone);
                     },
-                    (member, duty) -> {
+                    (member, task) -> {
                         weights++;
-                        return TaskAssignment.weight(member, duty);
+                        return TaskAssignment.weight(member, task);
                     });
 
-    private void fill(int peers, int nodes) {
+    private void fill(int members, int tasks) {
         fleet.alive(TaskFleet.SELF.name(), TaskFleet.ZONE);
-        for (int i = 1; i < peers; i++) {
+        for (int i = 1; i < members; i++) {
             fleet.alive("p" + i, TaskFleet.ZONE);
         }
-        for (int i = 0; i < 3 * peers; i++) {
+        for (int i = 0; i < 3 * members; i++) {
             fleet.alive("q" + i, "b");
         }
-        computeDueTasks(fleet.view(), firstTasks(nodes));
+        computeDueTasks(fleet.view(), firstTasks(tasks));
     }
 
     private static List<Long> firstTasks(int count) {
         return LongStream.range(0, count).boxed().toList();
     }
 
-    private void computeDueTasks(MembershipView view, List<Long> nodes) {
+    private void computeDueTasks(MembershipView view, List<Long> tasks) {
         passes = 0;
         weights = 0;
-        assignment.dueTasks(view, nodes, 0);
+        assignment.dueTasks(view, tasks, 0);
     }
 
     @ParameterizedTest
     @CsvSource({"3, 18", "12, 78", "45, 311", "90, 620"})
-    void firstCallComputesEachWeightOnce(int peers, int nodes) {
-        fill(peers, nodes);
+    void firstCallComputesEachWeightOnce(int members, int tasks) {
+        fill(members, tasks);
         assertEquals(1, passes);
-        assertEquals(peers * nodes, weights);
+        assertEquals(members * tasks, weights);
     }
 
     @ParameterizedTest
     @CsvSource({"3, 18", "12, 78", "45, 311", "90, 620"})
-    void unchangedViewCostsNoPassAndNoWeight(int peers, int nodes) {
-        fill(peers, nodes);
+    void unchangedViewCostsNoPassAndNoWeight(int members, int tasks) {
+        fill(members, tasks);
         MembershipView view = fleet.view();
-        computeDueTasks(view, firstTasks(nodes));
-        computeDueTasks(view, firstTasks(nodes));
+        computeDueTasks(view, firstTasks(tasks));
+        computeDueTasks(view, firstTasks(tasks));
         assertEquals(0, passes);
         assertEquals(0, weights);
     }
 
     @ParameterizedTest
     @CsvSource({"3, 18", "12, 78", "45, 311", "90, 620"})
-    void changedMetricsCostOnePassAndNoWeight(int peers, int nodes) {
-        fill(peers, nodes);
+    void changedMetricsCostOnePassAndNoWeight(int members, int tasks) {
+        fill(members, tasks);
         fleet.put("p1", TaskFleet.ZONE, MemberStatus.ALIVE, MemberMetadata.Lifecycle.SERVING, 7);
         fleet.put("q1", "b", MemberStatus.DEAD, MemberMetadata.Lifecycle.SERVING, 7);
-        computeDueTasks(fleet.view(), firstTasks(nodes));
+        computeDueTasks(fleet.view(), firstTasks(tasks));
         assertEquals(1, passes);
         assertEquals(0, weights);
     }
 
     @ParameterizedTest
     @CsvSource({"3, 18", "12, 78", "45, 311", "90, 620"})
-    void joiningMemberCostsOneWeightPerTask(int peers, int nodes) {
-        fill(peers, nodes);
-        computeDueTasks(fleet.alive("new", TaskFleet.ZONE).view(), firstTasks(nodes));
+    void joiningMemberCostsOneWeightPerTask(int members, int tasks) {
+        fill(members, tasks);
+        computeDueTasks(fleet.alive("new", TaskFleet.ZONE).view(), firstTasks(tasks));
         assertEquals(1, passes);
-        assertEquals(nodes, weights);
+        assertEquals(tasks, weights);
     }
 
     @ParameterizedTest
     @CsvSource({"3, 18", "12, 78", "45, 311", "90, 620"})
-    void leavingMemberCostsTheWeightsOfItsOwnTasksOnly(int peers, int nodes) {
-        fill(peers, nodes);
+    void leavingMemberCostsTheWeightsOfItsOwnTasksOnly(int members, int tasks) {
+        fill(members, tasks);
         MemberId leaver = new MemberId("p1");
         MembershipView before = fleet.view();
         long owned =
-                firstTasks(nodes).stream()
+                firstTasks(tasks).stream()
                         .filter(
-                                node ->
+                                task ->
                                         TaskAssignment.candidatesInOrder(
-                                                        before, TaskFleet.ZONE, node)
+                                                        before, TaskFleet.ZONE, task)
                                                 .get(0)
                                                 .equals(leaver))
                         .count();
-        assertTrue(owned < nodes, "it owns some nodes, not all");
-        computeDueTasks(fleet.remove("p1").view(), firstTasks(nodes));
+        assertTrue(owned < tasks, "it owns some tasks, not all");
+        computeDueTasks(fleet.remove("p1").view(), firstTasks(tasks));
         assertEquals(1, passes);
-        assertEquals(owned * (peers - 1), weights);
+        assertEquals(owned * (members - 1), weights);
     }
 
     @ParameterizedTest
     @CsvSource({"3, 18", "12, 78", "45, 311", "90, 620"})
-    void newTaskCostsOneWeightPerCandidate(int peers, int nodes) {
-        fill(peers, nodes);
+    void newTaskCostsOneWeightPerCandidate(int members, int tasks) {
+        fill(members, tasks);
         MembershipView view = fleet.view();
-        computeDueTasks(view, firstTasks(nodes));
-        computeDueTasks(view, firstTasks(nodes + 1));
+        computeDueTasks(view, firstTasks(tasks));
+        computeDueTasks(view, firstTasks(tasks + 1));
         assertEquals(0, passes);
-        assertEquals(peers, weights);
-        computeDueTasks(view, firstTasks(nodes));
-        assertEquals(0, weights, "a node that goes costs nothing");
+        assertEquals(members, weights);
+        computeDueTasks(view, firstTasks(tasks));
+        assertEquals(0, weights, "a removed task costs nothing");
     }
 }
--- a/src/test/java/cairnbridge/fleet/coordination/TaskFleet.java
+++ b/src/test/java/cairnbridge/fleet/coordination/TaskFleet.java
@@ -14,11 +14,11 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Views over a fleet that tests change member by member. */
+/** Builds membership views of a fleet that tests change member by member. */
 final class TaskFleet {
     static final String ZONE = "a";
 
-    /** Between others with the same hash, so that ties are won and lost. */
+    /** Sorts between other names with the same hash, so that it wins some ties and loses others. */
     static final MemberId SELF = new MemberId("AaBB");
 
     private static final MembershipStatistics NO_STATISTICS = MembershipStatistics.EMPTY;
@@ -32,28 +32,28 @@
     TaskFleet put(
             String name,
             String zone,
-            MemberStatus standing,
-            MemberMetadata.Lifecycle state,
+            MemberStatus status,
+            MemberMetadata.Lifecycle lifecycle,
             long load) {
-        MemberMetrics figures =
+        MemberMetrics metrics =
                 new MemberMetrics(
                         new MemberMetrics.Load(load, 1, 0),
                         new MemberMetrics.EndpointListStatus(0, false),
                         new MemberMetrics.Reachability(List.of(), List.of(), List.of()));
-        MemberMetadata told =
+        MemberMetadata metadata =
                 MemberMetadata.builder()
                         .location(zone, "r")
                         .protocolVersion(2)
-                        .lifecycle(state)
-                        .metrics(figures)
+                        .lifecycle(lifecycle)
+                        .metrics(metrics)
                         .build();
-        members.put(name, member(name, standing, told));
+        members.put(name, member(name, status, metadata));
         return this;
     }
 
-    /** One that is known by its name and standing only. */
-    TaskFleet withoutMetadata(String name, MemberStatus standing) {
-        members.put(name, member(name, standing, null));
+    /** Adds a member whose metadata is unknown. */
+    TaskFleet withoutMetadata(String name, MemberStatus status) {
+        members.put(name, member(name, status, null));
         return this;
     }
 
@@ -66,14 +66,14 @@
         return new MembershipView(SELF, new ArrayList<>(members.values()), 0, NO_STATISTICS);
     }
 
-    private static MemberState member(String name, MemberStatus standing, MemberMetadata told) {
+    private static MemberState member(String name, MemberStatus status, MemberMetadata metadata) {
         return new MemberState(
                 new MemberId(name),
                 new Endpoint("10.0.0.1", 1000),
                 new Incarnation(1, 0),
-                standing,
+                status,
                 null,
                 1,
-                told);
+                metadata);
     }
 }
--- a/src/test/java/cairnbridge/fleet/membership/MembershipViewTest.java
+++ b/src/test/java/cairnbridge/fleet/membership/MembershipViewTest.java
@@ -13,34 +13,34 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** Look-ups in a view, each of which goes through its members once at most. */
+/** Tests the lookups of a view, each of which iterates over its members at most once. */
 class MembershipViewTest {
     private static final MembershipStatistics NO_STATISTICS = MembershipStatistics.EMPTY;
 
-    private static MemberState member(String name, MemberStatus standing) {
+    private static MemberState member(String name, MemberStatus status) {
         return new MemberState(
                 new MemberId(name),
                 new Endpoint("10.0.0.1", 1000),
                 new Incarnation(1, 0),
-                standing,
+                status,
                 null,
                 1,
                 null);
     }
 
-    private static MembershipView view(List<MemberState> claims) {
-        return new MembershipView(new MemberId("a"), claims, 0, NO_STATISTICS);
+    private static MembershipView view(List<MemberState> members) {
+        return new MembershipView(new MemberId("a"), members, 0, NO_STATISTICS);
     }
 
     @Test
     void stateOfFindsEachMemberAndNoUnknownOne() {
-        List<MemberState> claims = new ArrayList<>();
+        List<MemberState> members = new ArrayList<>();
         for (int i = 0; i < 500; i++) {
-            claims.add(member("p" + i, MemberStatus.values()[i % MemberStatus.values().length]));
+            members.add(member("p" + i, MemberStatus.values()[i % MemberStatus.values().length]));
         }
-        MembershipView view = view(claims);
-        for (MemberState claim : claims) {
-            assertSame(claim, view.stateOf(claim.id()).orElseThrow());
+        MembershipView view = view(members);
+        for (MemberState expected : members) {
+            assertSame(expected, view.stateOf(expected.id()).orElseThrow());
         }
         assertEquals(Optional.empty(), view.stateOf(new MemberId("p500")));
     }
@@ -76,9 +76,9 @@
 
     @Test
     void viewCopiesTheMemberList() {
-        List<MemberState> claims = new ArrayList<>(List.of(member("a", MemberStatus.ALIVE)));
-        MembershipView view = view(claims);
-        claims.add(member("b", MemberStatus.ALIVE));
+        List<MemberState> members = new ArrayList<>(List.of(member("a", MemberStatus.ALIVE)));
+        MembershipView view = view(members);
+        members.add(member("b", MemberStatus.ALIVE));
         assertEquals(1, view.liveMembers().size());
         assertEquals(Optional.empty(), view.stateOf(new MemberId("b")));
     }
--- a/src/test/java/cairnbridge/fleet/membership/SwimProtocolPropertyTest.java
+++ b/src/test/java/cairnbridge/fleet/membership/SwimProtocolPropertyTest.java
@@ -16,9 +16,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What must hold after any course of joins, crashes, freezes, cuts, losses and heals. A course that
- * fails is made shorter, step by step, and printed with its seed. -Dfleet.courses=N plays more of
- * them.
+ * Checks invariants after random sequences of joins, crashes, freezes, partitions, packet loss and
+ * heals. A failing run is reduced step by step to a shorter one that also fails, and printed with
+ * its seed. -Dfleet.courses=N sets the number of runs.
  */
 class SwimProtocolPropertyTest {
     private static final int RUNS = Integer.getInteger("fleet.courses", 60);
@@ -26,7 +26,7 @@
     private static final int MAX_NODES = 14;
     private static final long FIRST_SEED = Long.getLong("fleet.seed", 1);
 
-    /** What a step of a random run does. */
+    /** The action of a step. */
     enum Action {
         JOIN,
         CRASH,
@@ -41,60 +41,62 @@
         PASS
     }
 
-    /** One step of a random run. */
+    /** One step of a random run; the action determines how the numbers are used. */
     record Step(Action action, int node, int value) {}
 
     @Test
     void viewsAgreeAfterHealingAndIncarnationsNeverDecrease() {
         for (long seed = FIRST_SEED; seed < FIRST_SEED + RUNS; seed++) {
-            List<Step> course = randomSteps(seed);
-            String wrong = run(seed, course);
-            if (!wrong.isEmpty()) {
-                fail("seed " + seed + ": " + shrink(seed, course));
+            List<Step> steps = randomSteps(seed);
+            String violation = run(seed, steps);
+            if (!violation.isEmpty()) {
+                fail("seed " + seed + ": " + shrink(seed, steps));
             }
         }
     }
 
     private static List<Step> randomSteps(long seed) {
-        RandomGenerator chance = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-        List<Step> course = new ArrayList<>();
+        RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
+        List<Step> steps = new ArrayList<>();
         for (int i = 0; i < STEPS_PER_RUN; i++) {
-            Action[] all = Action.values();
-            course.add(
+            Action[] actions = Action.values();
+            steps.add(
                     new Step(
-                            all[chance.nextInt(all.length)],
-                            chance.nextInt(1000),
-                            chance.nextInt(1000)));
-            course.add(new Step(Action.PASS, 0, chance.nextInt(1000)));
+                            actions[random.nextInt(actions.length)],
+                            random.nextInt(1000),
+                            random.nextInt(1000)));
+            steps.add(new Step(Action.PASS, 0, random.nextInt(1000)));
         }
-        return course;
+        return steps;
     }
 
-    private static String shrink(long seed, List<Step> course) {
-        List<Step> left = new ArrayList<>(course);
-        for (int i = left.size() - 1; i >= 0; i--) {
-            List<Step> without = new ArrayList<>(left);
+    private static String shrink(long seed, List<Step> steps) {
+        List<Step> remaining = new ArrayList<>(steps);
+        for (int i = remaining.size() - 1; i >= 0; i--) {
+            List<Step> without = new ArrayList<>(remaining);
             without.remove(i);
             if (!run(seed, without).isEmpty()) {
-                left = without;
+                remaining = without;
             }
         }
-        return run(seed, left) + " after " + left;
+        return run(seed, remaining) + " after " + remaining;
     }
 
-    private static String run(long seed, List<Step> course) {
+    private static String run(long seed, List<Step> steps) {
         SimulatedNet net = new SimulatedNet(SwimSettings.DEFAULT, seed);
-        Map<List<MemberId>, Incarnation> newest = new HashMap<>();
-        List<String> back = new ArrayList<>();
+        Map<List<MemberId>, Incarnation> latestIncarnations = new HashMap<>();
+        List<String> decreases = new ArrayList<>();
         net.watcher =
-                (holder, before, after, why) -> {
+                (observer, before, after, reason) -> {
                     if (after != null && before != null) {
                         Incarnation last =
-                                newest.put(List.of(holder.id, after.id()), after.incarnation());
+                                latestIncarnations.put(
+                                        List.of(observer.id, after.id()), after.incarnation());
                         if (last != null
-                                && holder.machine != null
+                                && observer.machine != null
                                 && last.compareTo(after.incarnation()) > 0) {
-                            back.add(holder.id + " goes back on " + after.id());
+                            decreases.add(
+                                    observer.id + " decreases the incarnation of " + after.id());
                         }
                     }
                 };
@@ -103,8 +105,8 @@
             net.add("p" + i, seedNode);
         }
         net.pass(5 * SECOND);
-        for (Step step : course) {
-            perform(net, step, newest);
+        for (Step step : steps) {
+            perform(net, step, latestIncarnations);
         }
         net.heal();
         net.loss = 0;
@@ -113,52 +115,53 @@
             return net.disagreement();
         }
         net.pass(15 * SECOND);
-        return back.isEmpty() ? net.disagreement() : back.get(0);
+        return decreases.isEmpty() ? net.disagreement() : decreases.get(0);
     }
 
-    private static void perform(SimulatedNet net, Step step, Map<List<MemberId>, Incarnation> newest) {
+    private static void perform(
+            SimulatedNet net, Step step, Map<List<MemberId>, Incarnation> latestIncarnations) {
         List<Node> running = net.running();
-        Node who = running.isEmpty() ? null : running.get(step.node % running.size());
-        Node any = net.nodes().get(step.node % net.nodes().size());
+        Node runningNode = running.isEmpty() ? null : running.get(step.node % running.size());
+        Node anyNode = net.nodes().get(step.node % net.nodes().size());
         Node first = net.nodes().get(0);
         switch (step.action) {
             case JOIN -> {
-                if (net.nodes().size() < MAX_NODES && who != null) {
-                    // One that runs and is within reach is among its seeds, else nobody could ever
-                    // find it.
-                    Node node = net.add("p" + net.nodes().size(), first, who);
-                    net.side(node, who.side);
+                if (net.nodes().size() < MAX_NODES && runningNode != null) {
+                    // A running, reachable node is among the seeds; otherwise the new node could
+                    // never be found.
+                    Node node = net.add("p" + net.nodes().size(), first, runningNode);
+                    net.side(node, runningNode.side);
                     net.pass(SECOND / 20);
                 }
             }
             case CRASH -> {
-                // One seed outlives everything: with none, parts that never met could not find one
-                // another.
-                if (who != null && running.size() > 2 && who != first) {
-                    net.crash(who);
+                // The first node, a seed of all others, never crashes: without any seed, partitions
+                // that never met could not find each other.
+                if (runningNode != null && running.size() > 2 && runningNode != first) {
+                    net.crash(runningNode);
                 }
             }
             case RESTART -> {
-                if (!any.running && who != null) {
-                    net.side(any, who.side);
-                    newest.keySet().removeIf(pair -> pair.get(0).equals(any.id));
-                    net.start(any, first, who);
+                if (!anyNode.running && runningNode != null) {
+                    net.side(anyNode, runningNode.side);
+                    latestIncarnations.keySet().removeIf(pair -> pair.get(0).equals(anyNode.id));
+                    net.start(anyNode, first, runningNode);
                     net.pass(SECOND / 20);
                 }
             }
             case LEAVE -> {
-                if (who != null && running.size() > 3 && who != first) {
-                    net.leave(who);
+                if (runningNode != null && running.size() > 3 && runningNode != first) {
+                    net.leave(runningNode);
                 }
             }
             case FREEZE -> {
-                if (who != null && running.size() > 2) {
-                    net.freeze(who);
+                if (runningNode != null && running.size() > 2) {
+                    net.freeze(runningNode);
                 }
             }
             case THAW -> {
-                if (any.frozen && any.running) {
-                    net.thaw(any);
+                if (anyNode.frozen && anyNode.running) {
+                    net.thaw(anyNode);
                 }
             }
             case CUT ->
@@ -170,8 +173,8 @@
                                                     (node.id.name().hashCode() * 31 + step.value)
                                                             % (2 + step.node % 2)));
             case ONE_WAY -> {
-                if (who != null) {
-                    net.cutOneWay(who, any);
+                if (runningNode != null) {
+                    net.cutOneWay(runningNode, anyNode);
                 }
             }
             case HEAL -> net.heal();
--- a/src/test/java/cairnbridge/fleet/membership/SwimProtocolTest.java
+++ b/src/test/java/cairnbridge/fleet/membership/SwimProtocolTest.java
@@ -22,12 +22,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** One short story for each failure that the view must outlive, on a simulated net. */
+/** Tests each kind of failure that the membership protocol must handle, on a simulated network. */
 class SwimProtocolTest {
     private static final long STEP = SECOND / 20;
     private final SimulatedNet net = new SimulatedNet(SwimSettings.DEFAULT, 7);
 
-    /** Deaths of members that ran and were not frozen, as any view held them. */
+    /** Deaths reported by any view of members that were running, not frozen and reachable. */
     private final List<String> falseDeaths = new ArrayList<>();
 
     private List<Node> startFleet(int size) {
@@ -37,7 +37,7 @@
         }
         awaitAgreement(10);
         net.watcher =
-                (holder, before, after, why) -> {
+                (observer, before, after, reason) -> {
                     if (after != null
                             && after.status() == MemberStatus.DEAD
                             && (before == null || before.status().isLive())
@@ -45,17 +45,17 @@
                                     .anyMatch(
                                             node ->
                                                     node.id.equals(after.id())
-                                                            && node.side == holder.side)) {
-                        falseDeaths.add(holder.id + " held " + after.id() + " dead: " + why);
+                                                            && node.side == observer.side)) {
+                        falseDeaths.add(observer.id + ": " + after.id() + " dead: " + reason);
                     }
                 };
         return net.nodes();
     }
 
     private long awaitAgreement(int seconds) {
-        long took = net.untilAgreed(seconds * SECOND, STEP);
-        assertTrue(took >= 0, "after " + seconds + " s " + net.disagreement());
-        return took;
+        long duration = net.untilAgreed(seconds * SECOND, STEP);
+        assertTrue(duration >= 0, "after " + seconds + " s " + net.disagreement());
+        return duration;
     }
 
     @Test
@@ -69,10 +69,7 @@
         assertTrue(awaitAgreement(5) > 0);
     }
 
-    /**
-     * Guards against a fleet that starts at once, each with its first call answered before the rest
-     * was there.
-     */
+    /** Guards against slow convergence when first calls are answered before others have joined. */
     @Test
     void twoHundredSimultaneousStartsAgreeWithinSevenSeconds() {
         Node seed = net.add("seed");
@@ -83,23 +80,23 @@
     }
 
     /**
-     * Guards against parts of a fleet that starts at once, each joined through one that knew
-     * nobody: they found each other only when the seeds that were missed were asked, after five
-     * seconds and more.
+     * Guards against partitions of a fleet that starts at once, when each part joins through a seed
+     * that knows no other member: the parts used to find each other only through calls to missing
+     * seeds after five seconds and more.
      */
     @Test
     void twoSeparatelyJoinedPairsMergeWithinTwoSeconds() {
         Node[] seeds = {net.add("p1"), net.add("p2"), net.add("p3"), net.add("p4")};
         List.of(seeds).forEach(net::crash);
         net.pass(SECOND);
-        // By its life the first asks the second, the third the last.
-        long[] lives = {3_000, 3_003, 3_002, 3_005};
+        // The generation selects the first seed to call: p1 calls p2, and p3 calls p4.
+        long[] generations = {3_000, 3_003, 3_002, 3_005};
         for (int i = 0; i < seeds.length; i++) {
-            net.start(seeds[i], lives[i], seeds);
+            net.start(seeds[i], generations[i], seeds);
         }
         net.pass(SECOND / 10);
-        assertEquals(2, seeds[0].machine.liveCount(), "two pairs");
-        assertEquals(2, seeds[3].machine.liveCount(), "two pairs");
+        assertEquals(2, seeds[0].machine.liveCount(), "size of each pair");
+        assertEquals(2, seeds[3].machine.liveCount(), "size of each pair");
         assertTrue(awaitAgreement(2) > 0);
     }
 
@@ -123,9 +120,9 @@
         net.thaw(frozen);
         awaitAgreement(5);
         Incarnation after = nodes.get(0).machine.stateOf(frozen.id).orElseThrow().incarnation();
-        assertEquals(before.generation(), after.generation(), "it is the same life");
-        assertTrue(after.refutation() > before.refutation(), "it has refuted");
-        assertEquals(List.of(), falseDeaths, "it took none of the others for dead meanwhile");
+        assertEquals(before.generation(), after.generation(), "generation after the freeze");
+        assertTrue(after.refutation() > before.refutation(), "no refutation after the freeze");
+        assertEquals(List.of(), falseDeaths, "false deaths during the freeze");
         assertTrue(frozen.machine.statistics().counters().pauses() > 0);
     }
 
@@ -145,12 +142,12 @@
         net.pass(20 * SECOND);
         net.heal();
         awaitAgreement(5);
-        assertEquals(List.of(), falseDeaths, "nobody is held dead by one that could hear it");
+        assertEquals(List.of(), falseDeaths, "false deaths of reachable members");
     }
 
     /**
-     * Guards against a cut found out ever more slowly, as those asked in vain are taken for
-     * deafness of one's own.
+     * Guards against ever slower detection of a partition, when unanswered ping requests to
+     * unreachable relays count as bad local reception.
      */
     @Test
     void smallPartitionDetectsUnreachableMembersWithinTwelveSeconds() {
@@ -162,7 +159,7 @@
                     4,
                     node.machine.statistics().members().alive()
                             + node.machine.statistics().members().suspect(),
-                    node.id + " holds more");
+                    node.id + " has members of the other partition in its view");
         }
     }
 
@@ -181,7 +178,7 @@
         List<Node> nodes = startFleet(12);
         Node node = nodes.get(3);
         net.crash(node);
-        net.pass(SECOND + SECOND / 2); // It is suspected, and told of as suspect.
+        net.pass(SECOND + SECOND / 2); // Other members gossip that it is suspect.
         net.start(node, nodes.get(0));
         awaitAgreement(5);
         net.pass(15 * SECOND);
@@ -193,19 +190,19 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 4_000_000_000_000_000L})
-    void memberRejoinsAfterAClockJumpBetweenGenerations(long life) {
+    void memberRejoinsAfterAClockJumpBetweenGenerations(long generation) {
         List<Node> nodes = startFleet(12);
         Node node = nodes.get(3);
         net.crash(node);
         net.pass(10 * SECOND);
-        net.start(node, life, nodes.get(0));
+        net.start(node, generation, nodes.get(0));
         awaitAgreement(5);
         net.crash(node);
         net.pass(10 * SECOND);
         net.start(node, nodes.get(0));
         awaitAgreement(5);
-        Incarnation held = nodes.get(7).machine.stateOf(node.id).orElseThrow().incarnation();
-        assertEquals(node.machine.self().incarnation().generation(), held.generation());
+        Incarnation recorded = nodes.get(7).machine.stateOf(node.id).orElseThrow().incarnation();
+        assertEquals(node.machine.self().incarnation().generation(), recorded.generation());
     }
 
     @Test
@@ -227,8 +224,8 @@
     }
 
     /**
-     * Guards against a death for want of one rumour: of hundreds of refutations each misses some
-     * view.
+     * Guards against a false death because of one lost update: each of hundreds of refutations
+     * fails to reach some view.
      */
     @Test
     void longSuspicionsAreRefutedBeforeTheirTimeout() {
@@ -239,64 +236,65 @@
                 net.nodes().stream()
                         .mapToLong(node -> node.machine.statistics().counters().suspicions())
                         .sum();
-        assertTrue(suspicions > 1_000, suspicions + " suspicions had to be refuted");
+        assertTrue(suspicions > 1_000, suspicions + " suspicions");
         assertEquals(List.of(), falseDeaths);
     }
 
     @Test
     void leavingMemberIsNotDeclaredDead() {
         List<Node> nodes = startFleet(12);
-        Set<String> held = new TreeSet<>();
+        Set<String> statusChanges = new TreeSet<>();
         net.watcher =
-                (holder, before, after, why) -> {
+                (observer, before, after, reason) -> {
                     if (before == null || after == null || before.status() != after.status()) {
-                        held.add(after == null ? "none" : after.status() + " " + why);
+                        statusChanges.add(after == null ? "none" : after.status() + " " + reason);
                     }
                 };
         net.leave(nodes.get(4));
         awaitAgreement(2);
         net.pass(20 * SECOND);
-        assertEquals(Set.of("LEFT LEFT"), held);
+        assertEquals(Set.of("LEFT LEFT"), statusChanges);
         assertEquals(0, nodes.get(0).machine.statistics().counters().deaths());
     }
 
-    /**
-     * Guards against a leave that is held a crash for half a minute by a view that one rumour has
-     * missed.
-     */
+    /** Guards against a missed leave that one view takes for a crash for half a minute. */
     @Test
     void memberThatMissedALeaveIsCorrectedWhenItSuspects() {
         List<Node> nodes = startFleet(12);
-        Node gone = nodes.get(4);
-        net.cutOneWay(gone, nodes.get(9));
+        Node left = nodes.get(4);
+        net.cutOneWay(left, nodes.get(9));
         nodes.forEach(node -> net.cutOneWay(node, nodes.get(9)));
-        net.leave(gone);
+        net.leave(left);
         net.pass(SECOND);
         assertEquals(
-                MemberStatus.ALIVE, nodes.get(9).machine.stateOf(gone.id).orElseThrow().status());
+                MemberStatus.ALIVE, nodes.get(9).machine.stateOf(left.id).orElseThrow().status());
         net.heal();
         net.pass(9 * SECOND);
         assertEquals(
-                MemberStatus.LEFT, nodes.get(9).machine.stateOf(gone.id).orElseThrow().status());
+                MemberStatus.LEFT, nodes.get(9).machine.stateOf(left.id).orElseThrow().status());
     }
 
     @Test
     void announcedMetadataReachesAllWithUnknownFields() {
         List<Node> nodes = startFleet(12);
-        byte[] raw = {(byte) 0xA2, 0x64, 's', 't', 'a', 't', 'e', 0, 0x61, 'x', 1};
-        byte[] good = {
+        byte[] withUnknownState = {(byte) 0xA2, 0x64, 's', 't', 'a', 't', 'e', 0, 0x61, 'x', 1};
+        byte[] withUnknownField = {
             (byte) 0xA2, 0x64, 'z', 'o', 'n', 'e', 0x61, 'b', 0x63, 'n', 'e', 'w', (byte) 0x82, 1, 2
         };
-        net.tell(nodes.get(2), new MembershipEvent.MetadataChanged(MemberMetadata.ofEncoded(good)));
+        net.tell(
+                nodes.get(2),
+                new MembershipEvent.MetadataChanged(MemberMetadata.ofEncoded(withUnknownField)));
         net.pass(3 * SECOND);
         for (Node node : nodes) {
             assertEquals(
-                    MemberMetadata.ofEncoded(good),
+                    MemberMetadata.ofEncoded(withUnknownField),
                     node.machine.stateOf(nodes.get(2).id).orElseThrow().metadata());
             assertEquals(
                     "b", node.machine.stateOf(nodes.get(2).id).orElseThrow().metadata().zone());
         }
-        net.tell(nodes.get(2), new MembershipEvent.MetadataChanged(MemberMetadata.ofEncoded(raw)));
+        net.tell(
+                nodes.get(2),
+                new MembershipEvent.MetadataChanged(MemberMetadata.ofEncoded(withUnknownState)));
         net.pass(3 * SECOND);
         assertEquals(
                 MemberMetadata.Lifecycle.UNKNOWN,
@@ -305,15 +303,15 @@
 
     @Test
     void fullTableEvictsDeadAndLeftMembersForLiveOnes() {
-        SwimSettings small = SwimSettings.builder().maxMembers(10).build();
-        SimulatedNet other = new SimulatedNet(small, 3);
-        Node alone = other.add("alone");
-        MemberState one = alone.machine.self();
+        SwimSettings settings = SwimSettings.builder().maxMembers(10).build();
+        SimulatedNet smallNet = new SimulatedNet(settings, 3);
+        Node alone = smallNet.add("alone");
+        MemberState self = alone.machine.self();
         for (int i = 0; i < 1_000; i++) {
-            MemberState claim =
+            MemberState statement =
                     new MemberState(
                             new MemberId("x" + i),
-                            one.endpoint(),
+                            self.endpoint(),
                             new Incarnation(5, 0),
                             i % 2 == 0 ? MemberStatus.DEAD : MemberStatus.LEFT,
                             null,
@@ -322,22 +320,22 @@
             Packet packet =
                     new Packet(
                             new MemberId("x0"),
-                            one.endpoint(),
+                            self.endpoint(),
                             new Incarnation(6, 0),
                             0,
-                            new Message.Gossip(List.of(claim)));
-            other.tell(alone, new MembershipEvent.PacketReceived(packet));
+                            new Message.Gossip(List.of(statement)));
+            smallNet.tell(alone, new MembershipEvent.PacketReceived(packet));
         }
         assertTrue(alone.machine.view().members().size() <= 11);
         for (int i = 0; i < 20; i++) {
             Packet packet =
                     new Packet(
                             new MemberId("y" + i),
-                            one.endpoint(),
+                            self.endpoint(),
                             new Incarnation(6, 0),
                             0,
                             new Message.Gossip(List.of()));
-            other.tell(alone, new MembershipEvent.PacketReceived(packet));
+            smallNet.tell(alone, new MembershipEvent.PacketReceived(packet));
         }
         assertEquals(11, alone.machine.statistics().members().alive());
         assertTrue(alone.machine.statistics().counters().discardedMessages() > 0);
@@ -345,31 +343,31 @@
 
     @Test
     void deadMembersAreForgottenByAllAfterTheRetention() {
-        SwimSettings brief = SwimSettings.builder().retention(20 * SECOND, 20 * SECOND).build();
-        SimulatedNet other = new SimulatedNet(brief, 3);
-        Node first = other.add("p0");
+        SwimSettings settings = SwimSettings.builder().retention(20 * SECOND, 20 * SECOND).build();
+        SimulatedNet smallNet = new SimulatedNet(settings, 3);
+        Node first = smallNet.add("p0");
         for (int i = 1; i < 8; i++) {
-            other.add("p" + i, first);
+            smallNet.add("p" + i, first);
         }
-        other.pass(15 * SECOND);
-        other.crash(other.nodes().get(5));
-        other.pass(40 * SECOND);
-        for (Node node : other.running()) {
-            assertTrue(node.machine.stateOf(other.nodes().get(5).id).isEmpty());
+        smallNet.pass(15 * SECOND);
+        smallNet.crash(smallNet.nodes().get(5));
+        smallNet.pass(40 * SECOND);
+        for (Node node : smallNet.running()) {
+            assertTrue(node.machine.stateOf(smallNet.nodes().get(5).id).isEmpty());
         }
-        assertEquals("", other.disagreement());
+        assertEquals("", smallNet.disagreement());
     }
 
     @Test
     void duplicateMemberNameIsLoggedOncePerProcess() {
         List<Node> nodes = startFleet(4);
-        Node impostor = net.add("p2", nodes.get(0));
+        Node duplicate = net.add("p2", nodes.get(0));
         net.pass(30 * SECOND);
         long lines =
                 net.said.stream()
                         .filter(line -> line.contains("uses the member name p2 as well"))
                         .count();
-        assertTrue(lines >= 1 && lines <= 2, net.said + " by " + impostor.id);
+        assertTrue(lines >= 1 && lines <= 2, net.said + " by " + duplicate.id);
     }
 
     @Test
@@ -380,11 +378,11 @@
 
     private static String statusChangeLog(long seed) {
         SimulatedNet net = new SimulatedNet(SwimSettings.DEFAULT, seed);
-        StringBuilder course = new StringBuilder();
+        StringBuilder changes = new StringBuilder();
         net.watcher =
-                (holder, before, after, why) ->
-                        course.append(net.now())
-                                .append(holder.id)
+                (observer, before, after, reason) ->
+                        changes.append(net.now())
+                                .append(observer.id)
                                 .append(after.id())
                                 .append(after.status());
         Node first = net.add("p0");
@@ -395,6 +393,6 @@
         net.crash(net.nodes().get(4));
         net.loss = 0.2;
         net.pass(20 * SECOND);
-        return course + " " + net.nodes().get(0).bytes;
+        return changes + " " + net.nodes().get(0).bytes;
     }
 }
