--- a/src/test/java/cairnbridge/fleet/coordination/CoordinationTest.java
+++ b/src/test/java/cairnbridge/fleet/coordination/CoordinationTest.java
@@ -205,9 +205,7 @@
         }
         counters.publish(2 * SECOND);
         assertEquals(
-                List.of(),
-                counters.reachability().unreachableNodes(),
-                "each cache failed once only");
+                List.of(), counters.reachability().unreachableNodes(), "one failure per cache");
         assertEquals(
                 List.of(Fnv1a.hash("b"), Fnv1a.hash("a")).stream().sorted().toList(),
                 counters.reachability().unreachableZones().stream().sorted().toList());
