--- a/src/main/java/cairnbridge/fleet/coordination/DiscoveryPolling.java
+++ b/src/main/java/cairnbridge/fleet/coordination/DiscoveryPolling.java
@@ -6,14 +6,15 @@
 
 /**
  * Decides which members poll the discovery service while it does not answer. Guards against a
- * recovering discovery service that receives the polls of a whole fleet: some members of each zone
- * poll it; the others poll once a member of their zone receives the list, or after half a minute.
+ * recovering discovery service that is overloaded by the polls of a whole fleet: some members of
+ * each zone poll it; the others poll once a member of their zone receives the list, or after half a
+ * minute.
  */
 public final class DiscoveryPolling {
     /** Task id for the hash that ranks the members. */
     private static final long TASK = 0x6C697374L;
 
-    /** Every member polls at least this often, regardless of the others. */
+    /** Maximum time between two polls of a member, regardless of the others. */
     private static final long MAX_INTERVAL_MILLIS = 30_000;
 
     private static final int POLLING_MEMBERS = 3;
--- a/src/main/java/cairnbridge/fleet/coordination/FleetLoadCounters.java
+++ b/src/main/java/cairnbridge/fleet/coordination/FleetLoadCounters.java
@@ -142,8 +142,8 @@
     }
 
     /**
-     * Whether an outcome shows if the node can be reached. That of a cancelled attempt does only if
-     * the time of its request was over.
+     * Whether an outcome shows that the node can, or cannot, be reached. A cancelled attempt shows
+     * it only if the time of its request was over.
      */
     private static boolean isConclusive(AttemptOutcome outcome, long timeLeft) {
         return outcome != AttemptOutcome.NOT_SENT
--- a/src/main/java/cairnbridge/fleet/coordination/LiveProxyCount.java
+++ b/src/main/java/cairnbridge/fleet/coordination/LiveProxyCount.java
@@ -13,8 +13,9 @@
     private static final double FALL_TIME = 5 * Ticks.SECOND;
 
     /**
-     * Minimum difference between the smoothed and the reported count that changes the latter.
-     * Guards against a count that oscillates while the smoothed value is around a half.
+     * Minimum difference between the smoothed and the reported count at which the reported count
+     * changes. Guards against a count that oscillates while the smoothed value is about halfway
+     * between two integers.
      */
     private static final double HYSTERESIS = 0.6;
 
@@ -45,8 +46,8 @@
     }
 
     /**
-     * Guards against a partitioned fleet in which each part claims the quota of the whole fleet: a
-     * minority counts as half of the configured number.
+     * Guards against a partitioned fleet in which each part claims the quota of the whole fleet:
+     * without a majority of the configured number of proxies, the count is half of that number.
      */
     private double target(int live) {
         boolean majority = 2 * live > configured;
--- a/src/main/java/cairnbridge/fleet/coordination/ReachabilityReport.java
+++ b/src/main/java/cairnbridge/fleet/coordination/ReachabilityReport.java
@@ -10,7 +10,7 @@
 /**
  * The nodes, or zones, that this proxy cannot reach, according to its own attempts and health
  * checks: several in a row got no connection or no answer, and none has got one since. Failures
- * expire after a while.
+ * older than {@link #MAX_AGE} do not count.
  */
 public final class ReachabilityReport {
     private static final long MAX_AGE = 10 * Ticks.SECOND;
--- a/src/main/java/cairnbridge/fleet/coordination/ZoneOutcomeCounters.java
+++ b/src/main/java/cairnbridge/fleet/coordination/ZoneOutcomeCounters.java
@@ -16,11 +16,11 @@
     private static final double NEGLIGIBLE = 0.25;
 
     private static final class Count {
-        double ended;
+        double attempts;
         double failed;
 
         void halve() {
-            ended /= 2;
+            attempts /= 2;
             failed /= 2;
         }
     }
@@ -37,7 +37,7 @@
     public void record(long zoneHash, boolean failed, long now) {
         decay(now);
         Count count = counts.computeIfAbsent(zoneHash, id -> new Count());
-        count.ended++;
+        count.attempts++;
         count.failed += failed ? 1 : 0;
     }
 
@@ -48,7 +48,7 @@
                 return;
             }
             counts.values().forEach(Count::halve);
-            counts.values().removeIf(count -> count.ended < NEGLIGIBLE);
+            counts.values().removeIf(count -> count.attempts < NEGLIGIBLE);
         }
     }
 
@@ -56,7 +56,7 @@
     public List<ZoneOutcome> outcomes(long now) {
         decay(now);
         Comparator<Map.Entry<Long, Count>> byAttempts =
-                Comparator.comparingDouble(entry -> entry.getValue().ended);
+                Comparator.comparingDouble(entry -> entry.getValue().attempts);
         return counts.entrySet().stream()
                 .sorted(byAttempts.reversed())
                 .limit(MemberMetadata.MAX_ZONES)
@@ -65,6 +65,6 @@
     }
 
     private static ZoneOutcome outcome(long zoneHash, Count count) {
-        return new ZoneOutcome(zoneHash, Math.round(count.ended), Math.round(count.failed));
+        return new ZoneOutcome(zoneHash, Math.round(count.attempts), Math.round(count.failed));
     }
 }
--- a/src/main/java/cairnbridge/fleet/membership/AntiEntropy.java
+++ b/src/main/java/cairnbridge/fleet/membership/AntiEntropy.java
@@ -27,8 +27,8 @@
     private static final int SMALL_FLEET = 32;
 
     /**
-     * A digest that differs for this long, while no member's status changes, indicates an update
-     * that gossip failed to deliver.
+     * A digest that differs for this long while no member's status changes indicates an update that
+     * gossip failed to deliver.
      */
     private static final long MIN_STABLE_TIME = 3 * Ticks.SECOND;
 
@@ -76,11 +76,11 @@
     /**
      * Records the start time.
      *
-     * @param alone whether there is no contact to join through
+     * @param noContacts whether there is no contact to join through
      */
-    void start(boolean alone) {
+    void start(boolean noContacts) {
         startedAt = context.now();
-        joined = alone;
+        joined = noContacts;
     }
 
     /** Starts the periodic comparisons. */
--- a/src/main/java/cairnbridge/fleet/membership/FailureDetector.java
+++ b/src/main/java/cairnbridge/fleet/membership/FailureDetector.java
@@ -236,8 +236,8 @@
                 request.targetEndpoint(),
                 context.packet(
                         new Message.Ping(sequence, request.target(), context.updatesFor(target))));
-        // The requester's probe ends after two and a half times this timeout, so the nack arrives
-        // before.
+        // The nack must reach the requester before its probe ends, after two and a half times this
+        // timeout.
         context.schedule(
                 context.settings.probeTimeout(),
                 () -> {
--- a/src/main/java/cairnbridge/fleet/membership/JoinProcedure.java
+++ b/src/main/java/cairnbridge/fleet/membership/JoinProcedure.java
@@ -15,11 +15,12 @@
     private static final long RETRY_INTERVAL = Ticks.SECOND;
 
     /**
-     * Base delay of the first call to a seed that is missing from the view; doubles with each call.
+     * Base delay of the first check for seeds that are missing from the view; doubles with each
+     * check.
      */
     private static final long FIRST_SEED_CHECK = Ticks.SECOND / 2;
 
-    /** Upper bound of the base delay between calls to missing seeds. */
+    /** Upper bound of the base delay of these checks. */
     private static final long MAX_SEED_CHECK_INTERVAL = 5 * Ticks.SECOND;
 
     private final SwimContext context;
@@ -30,7 +31,7 @@
     /** The live member last found at the endpoint of a seed; null if none was found. */
     private final Map<Endpoint, MemberRecord> memberAtSeed = new HashMap<>();
 
-    private int calls;
+    private int callCount;
 
     /**
      * Creates a procedure for these contacts.
@@ -77,12 +78,12 @@
      * a fleet whose seeds no longer exist.
      */
     private Endpoint nextContact() {
-        boolean seedsTried = calls >= seeds.size();
+        boolean seedsTried = callCount >= seeds.size();
         boolean useRemembered =
-                !remembered.isEmpty() && (seeds.isEmpty() || (seedsTried && calls % 2 == 0));
+                !remembered.isEmpty() && (seeds.isEmpty() || (seedsTried && callCount % 2 == 0));
         List<Endpoint> contacts = useRemembered ? remembered : seeds;
         long generation = context.self.state().incarnation().generation();
-        int callIndex = calls++ + Math.floorMod(generation, contacts.size());
+        int callIndex = callCount++ + Math.floorMod(generation, contacts.size());
         return contacts.get(
                 Math.floorMod(useRemembered ? callIndex / 2 : callIndex, contacts.size()));
     }
--- a/src/main/java/cairnbridge/fleet/membership/MemberUpdates.java
+++ b/src/main/java/cairnbridge/fleet/membership/MemberUpdates.java
@@ -153,7 +153,7 @@
         context.markStatusChanged();
         failureDetector.memberJoined(member);
         if (antiEntropy.hasJoined()) {
-            // Members that this one discovers while joining are already known to the others.
+            // Members discovered while joining are known to the other members and need no gossip.
             context.gossipQueue.addStatus(member.state);
         }
         context.host.memberChanged(null, member.state, StatusChangeReason.JOINED);
--- a/src/main/java/cairnbridge/fleet/membership/MembershipCounters.java
+++ b/src/main/java/cairnbridge/fleet/membership/MembershipCounters.java
@@ -1,6 +1,6 @@
 package cairnbridge.fleet.membership;
 
-/** Counts events; the names are those of {@link MembershipStatistics.Counters}. */
+/** Counts the events that {@link MembershipStatistics.Counters} describes. */
 final class MembershipCounters {
     long suspicions;
     long refutations;
--- a/src/main/java/cairnbridge/fleet/membership/SwimContext.java
+++ b/src/main/java/cairnbridge/fleet/membership/SwimContext.java
@@ -48,7 +48,7 @@
         timers.schedule(now + delay, action);
     }
 
-    /** A random delay from 1 to the bound. */
+    /** A random delay between 1 and the bound, inclusive. */
     long randomDelay(long bound) {
         return 1 + random.nextLong(bound);
     }
--- a/src/test/java/cairnbridge/fleet/coordination/CoordinationTest.java
+++ b/src/test/java/cairnbridge/fleet/coordination/CoordinationTest.java
@@ -92,14 +92,14 @@
                 lastCount(count, members(1, 30, "a").view(), 0, 8),
                 "a fleet larger than configured");
         MembershipView fewer = members(1, 12, "a").view();
-        int soon = lastCount(count, fewer, 8 * SECOND, 1);
-        assertTrue(soon > 25, soon + " one second after the deaths");
+        int afterOneSecond = lastCount(count, fewer, 8 * SECOND, 1);
+        assertTrue(afterOneSecond > 25, afterOneSecond + " one second after the deaths");
         assertEquals(12, lastCount(count, fewer, 9 * SECOND, 40));
     }
 
     /** Guards against two partitions that each claim the whole quota. */
     @Test
-    void minorityPartitionCountsAtLeastHalfTheConfiguredProxies() {
+    void minorityPartitionCountsHalfTheConfiguredProxies() {
         LiveProxyCount count = new LiveProxyCount(20, 0);
         assertEquals(10, lastCount(count, members(1, 2, "a").view(), 0, 60));
     }
--- a/src/test/java/cairnbridge/fleet/membership/SwimProtocolTest.java
+++ b/src/test/java/cairnbridge/fleet/membership/SwimProtocolTest.java
@@ -27,7 +27,7 @@
     private static final long STEP = SECOND / 20;
     private final SimulatedNet net = new SimulatedNet(SwimSettings.DEFAULT, 7);
 
-    /** Deaths reported by any view of members that were running, not frozen and reachable. */
+    /** Deaths, in any view, of members that were in fact running, not frozen and reachable. */
     private final List<String> falseDeaths = new ArrayList<>();
 
     private List<Node> startFleet(int size) {
