--- a/src/main/java/cairnbridge/fleet/coordination/DiscoveryPolling.java
+++ b/src/main/java/cairnbridge/fleet/coordination/DiscoveryPolling.java
@@ -11,7 +11,7 @@
  * minute.
  */
 public final class DiscoveryPolling {
-    /** Task id for the hash that ranks the members. */
+    /** Id of discovery polling in the rendezvous hash that ranks the members. */
     private static final long TASK = 0x6C697374L;
 
     /** Maximum time between two polls of a member, regardless of the others. */
--- a/src/main/java/cairnbridge/fleet/membership/JoinProcedure.java
+++ b/src/main/java/cairnbridge/fleet/membership/JoinProcedure.java
@@ -20,7 +20,7 @@
      */
     private static final long FIRST_SEED_CHECK = Ticks.SECOND / 2;
 
-    /** Upper bound of the base delay of these checks. */
+    /** Upper bound of the base delay between checks for missing seeds. */
     private static final long MAX_SEED_CHECK_INTERVAL = 5 * Ticks.SECOND;
 
     private final SwimContext context;
--- a/src/main/java/cairnbridge/fleet/membership/MemberTable.java
+++ b/src/main/java/cairnbridge/fleet/membership/MemberTable.java
@@ -127,7 +127,7 @@
         }
     }
 
-    /** Moves the last entry to the index of the removed one. */
+    /** Removes a record from its list; the last entry of the list moves to its index. */
     private void removeFromList(MemberRecord record) {
         List<MemberRecord> list = listFor(record.state.status());
         if (list == null) {
--- a/src/main/java/cairnbridge/fleet/membership/MemberUpdates.java
+++ b/src/main/java/cairnbridge/fleet/membership/MemberUpdates.java
@@ -85,8 +85,8 @@
 
     private void applyDead(MemberRecord member, MemberState statement, int order, Source source) {
         if (order >= 0 && member.isLive()) {
-            // Guards against deaths reported by members that were cut off: a member that this one
-            // hears is challenged first.
+            // Guards against false deaths reported by members that were cut off: if the report is
+            // doubtful, the member is challenged instead of declared dead.
             if (isDoubtful(member, statement, source)) {
                 failureDetector.challengeIfDue(member, statement);
             } else {
--- a/src/main/java/cairnbridge/fleet/membership/MetadataAnnouncer.java
+++ b/src/main/java/cairnbridge/fleet/membership/MetadataAnnouncer.java
@@ -24,9 +24,10 @@
     private long announcedAt;
     private long scheduledAt = NOT_SCHEDULED;
 
-    /** The unreachable zones for which {@link #urgent} was drawn. */
+    /** The unreachable zones at the last random draw of {@link #urgent}. */
     private List<Long> drawnZones = List.of();
 
+    /** Whether this member announces these zones without waiting for its interval. */
     private boolean urgent;
 
     MetadataAnnouncer(SwimContext context) {
--- a/src/test/java/cairnbridge/fleet/membership/SwimProtocolPropertyTest.java
+++ b/src/test/java/cairnbridge/fleet/membership/SwimProtocolPropertyTest.java
@@ -26,7 +26,7 @@
     private static final int MAX_NODES = 14;
     private static final long FIRST_SEED = Long.getLong("fleet.seed", 1);
 
-    /** The action of a step. */
+    /** What a step does to the simulated network. */
     enum Action {
         JOIN,
         CRASH,
