--- a/src/main/java/cairnbridge/fleet/coordination/TaskOwners.java
+++ b/src/main/java/cairnbridge/fleet/coordination/TaskOwners.java
@@ -73,7 +73,10 @@
                 : best(null, candidates, task);
     }
 
-    /** The first by weight, then name, among the incumbent, which may be null, and the others. */
+    /**
+     * The owner with the highest weight, ties broken by name, among the incumbent, which may be
+     * null, and the others.
+     */
     private Owner best(Owner incumbent, Collection<MemberId> others, long task) {
         Owner best = incumbent;
         for (MemberId id : others) {
