--- a/src/main/java/cairnbridge/fleet/coordination/ZoneOutcomeCounters.java
+++ b/src/main/java/cairnbridge/fleet/coordination/ZoneOutcomeCounters.java
@@ -8,19 +8,19 @@
 import java.util.List;
 import java.util.Map;
 
-/** How this proxy's attempts ended, by zone: counts that are halved every second. */
+/** Outcomes of this proxy's attempts by zone, as counts that are halved every second. */
 public final class ZoneOutcomeCounters {
     private static final long HALF_LIFE = Ticks.SECOND;
 
-    /** Counts below this are dropped. */
+    /** Zones with fewer attempts than this are removed. */
     private static final double NEGLIGIBLE = 0.25;
 
     private static final class Count {
-        double ended;
+        double attempts;
         double failed;
 
         void halve() {
-            ended /= 2;
+            attempts /= 2;
             failed /= 2;
         }
     }
@@ -29,15 +29,15 @@
     private long halvedAt;
 
     /**
-     * Records how an attempt ended.
+     * Records the outcome of an attempt.
      *
      * @param zoneHash the hash of the zone's name
-     * @param failed whether it failed or was late
+     * @param failed whether the attempt failed or took longer than its latency objective
      */
     public void record(long zoneHash, boolean failed, long now) {
         decay(now);
         Count count = counts.computeIfAbsent(zoneHash, id -> new Count());
-        count.ended++;
+        count.attempts++;
         count.failed += failed ? 1 : 0;
     }
 
@@ -48,15 +48,15 @@
                 return;
             }
             counts.values().forEach(Count::halve);
-            counts.values().removeIf(count -> count.ended < NEGLIGIBLE);
+            counts.values().removeIf(count -> count.attempts < NEGLIGIBLE);
         }
     }
 
-    /** The zones with the most attempts, those first. */
+    /** The zones with the most attempts, in descending order. */
     public List<ZoneOutcome> outcomes(long now) {
         decay(now);
         Comparator<Map.Entry<Long, Count>> byAttempts =
-                Comparator.comparingDouble(entry -> entry.getValue().ended);
+                Comparator.comparingDouble(entry -> entry.getValue().attempts);
         return counts.entrySet().stream()
                 .sorted(byAttempts.reversed())
                 .limit(MemberMetadata.MAX_ZONES)
@@ -65,6 +65,6 @@
     }
 
     private static ZoneOutcome outcome(long zoneHash, Count count) {
-        return new ZoneOutcome(zoneHash, Math.round(count.ended), Math.round(count.failed));
+        return new ZoneOutcome(zoneHash, Math.round(count.attempts), Math.round(count.failed));
     }
 }
--- a/src/main/java/cairnbridge/fleet/membership/Suspicion.java
+++ b/src/main/java/cairnbridge/fleet/membership/Suspicion.java
@@ -5,38 +5,42 @@
 import java.util.Set;
 
 /**
- * When a suspect member is to be declared dead: the more members suspect it independently, the
- * sooner (Lifeguard).
+ * A suspicion of a member and its deadline: the more members report it independently, the earlier
+ * the member is declared dead (Lifeguard).
  */
 final class Suspicion {
-    /** How long a suspicion lasts with all confirmations and with none. */
+    /** The timeout of a suspicion with all expected confirmations, and with none. */
     record Timeouts(long min, long max) {}
 
-    private final long since;
+    private final long startedAt;
     private final Timeouts timeouts;
-    private final int wantedConfirmations;
+    private final int expectedConfirmations;
     private final Set<MemberId> reporters = new HashSet<>();
     private long pausedFor;
 
     /**
-     * A suspicion that begins now.
+     * Creates a suspicion that starts now.
      *
-     * @param wantedConfirmations this many further reporters bring the timeout down to its minimum
-     * @param reporter who suspects the member first
+     * @param expectedConfirmations number of further reporters that reduce the timeout to its
+     *     minimum
+     * @param reporter the member that reports the suspicion first
      */
     Suspicion(long now, Timeouts timeouts, int wantedConfirmations, MemberId reporter) {
-        this.since = now;
+        this.startedAt = now;
         this.timeouts = timeouts;
-        this.wantedConfirmations = wantedConfirmations;
+        this.expectedConfirmations = wantedConfirmations;
         reporters.add(reporter);
     }
 
-    /** Adds a reporter; true if it is a new one and shortens the timeout. */
+    /** Adds a reporter; true if it is new and shortens the timeout. */
     boolean confirm(MemberId reporter) {
-        return reporters.size() <= wantedConfirmations && reporters.add(reporter);
+        return reporters.size() <= expectedConfirmations && reporters.add(reporter);
     }
 
-    /** Guards against deaths by a clock that ran while this member could hear nobody. */
+    /**
+     * Extends the timeout by the length of a pause. Guards against deaths declared because time
+     * passed while this process could not receive refutations.
+     */
     void extendBy(long pause) {
         pausedFor += pause;
     }
@@ -44,10 +48,10 @@
     /** When the member is to be declared dead. */
     long due() {
         double confirmed =
-                wantedConfirmations < 1
+                expectedConfirmations < 1
                         ? 1
-                        : Math.log(reporters.size()) / Math.log(wantedConfirmations + 1);
+                        : Math.log(reporters.size()) / Math.log(expectedConfirmations + 1);
         long shortened = (long) (timeouts.max - (timeouts.max - timeouts.min) * confirmed);
-        return since + pausedFor + Math.max(timeouts.min, shortened);
+        return startedAt + pausedFor + Math.max(timeouts.min, shortened);
     }
 }
--- a/src/main/java/cairnbridge/fleet/membership/SwimContext.java
+++ b/src/main/java/cairnbridge/fleet/membership/SwimContext.java
@@ -8,7 +8,10 @@
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
 
-/** What the parts of the membership protocol share: settings, time, table and queues. */
+/**
+ * State shared by the components of the membership protocol: settings, clock, timers, table and
+ * queues.
+ */
 final class SwimContext {
     final SwimSettings settings;
     final MembershipHost host;
@@ -20,7 +23,7 @@
     final MembershipCounters counters = new MembershipCounters();
     final LocalMember self;
     private long now;
-    private long changedAt;
+    private long statusChangedAt;
 
     SwimContext(SwimSettings settings, MemberState self, long seed, long now, MembershipHost host) {
         this.settings = settings;
@@ -35,9 +38,9 @@
         return now;
     }
 
-    /** Moves the clock on; it never goes back. */
-    void advanceTo(long clock) {
-        now = Math.max(now, clock);
+    /** Advances the clock; an earlier time than the current one is ignored. */
+    void advanceTo(long time) {
+        now = Math.max(now, time);
     }
 
     /** Runs an action after a delay. */
@@ -45,59 +48,59 @@
         timers.schedule(now + delay, action);
     }
 
-    /** A random delay from 1 to the bound. */
+    /** A random delay between 1 and the bound, inclusive. */
     long randomDelay(long bound) {
         return 1 + random.nextLong(bound);
     }
 
-    /** Notes that the status of some member has changed now. */
-    void markChanged() {
-        changedAt = now;
+    /** Records that the status of a member has changed now. */
+    void markStatusChanged() {
+        statusChangedAt = now;
     }
 
-    /** For how long no member's status has changed. */
+    /** Time since a member's status last changed. */
     long stableFor() {
-        return now - changedAt;
+        return now - statusChangedAt;
     }
 
-    /** How many members are live, this one included unless it has left. */
+    /** Number of live members, this one included unless it has left. */
     int liveCountWithSelf() {
         return table.live().size() + (self.hasLeft() ? 0 : 1);
     }
 
-    /** A hash of the whole view, this member included. */
+    /** Hash of the whole view, this member included. */
     long viewDigest() {
         return table.digest() ^ MemberDigest.of(self.state());
     }
 
-    /** A message with what this member states about itself. */
+    /** Wraps a message in a packet with this member's id, endpoint, incarnation and view digest. */
     Packet packet(Message message) {
         MemberState own = self.state();
         return new Packet(own.id(), own.endpoint(), own.incarnation(), viewDigest(), message);
     }
 
     /**
-     * Updates for a message to a member: first what is said about the receiver unless that is well,
-     * then as many pending ones as fit.
+     * Updates for a message to a member: first the receiver's recorded state unless it is alive, so
+     * that the receiver can refute it, then as many pending updates as fit.
      */
     List<MemberState> updatesFor(MemberRecord receiver) {
         return receiver == null || receiver.state.status() == MemberStatus.ALIVE
                 ? pendingUpdates()
                 : gossipQueue.take(
-                        receiver.state.withoutMetadata(), updateBytes(), transmissions());
+                        receiver.state.withoutMetadata(), maxUpdateBytes(), maxTransmissions());
     }
 
     /** As many pending updates as fit into a message. */
     List<MemberState> pendingUpdates() {
-        return gossipQueue.take(updateBytes(), transmissions());
+        return gossipQueue.take(maxUpdateBytes(), maxTransmissions());
     }
 
-    private int updateBytes() {
+    private int maxUpdateBytes() {
         return settings.maxDatagramBytes() - Packet.MAX_HEADER_BYTES;
     }
 
-    /** How often each update is sent. */
-    private int transmissions() {
+    /** Number of times each update is sent. */
+    private int maxTransmissions() {
         int digits = (int) Math.ceil(Math.log10(liveCountWithSelf() + 1.0));
         return settings.retransmitMultiplier() * digits;
     }
--- a/src/main/java/cairnbridge/fleet/membership/TimerQueue.java
+++ b/src/main/java/cairnbridge/fleet/membership/TimerQueue.java
@@ -2,23 +2,23 @@
 
 import java.util.PriorityQueue;
 
-/**
- * Actions that are due later, ordered by their time, then by the order in which they were added.
- */
+/** Pending actions, ordered by due time, then by the order in which they were added. */
 final class TimerQueue {
-    private record Timer(long due, long rank, Runnable action) implements Comparable<Timer> {
+    private record Timer(long due, long sequence, Runnable action) implements Comparable<Timer> {
         @Override
         public int compareTo(Timer other) {
-            return due != other.due ? Long.compare(due, other.due) : Long.compare(rank, other.rank);
+            return due != other.due
+                    ? Long.compare(due, other.due)
+                    : Long.compare(sequence, other.sequence);
         }
     }
 
     private final PriorityQueue<Timer> queue = new PriorityQueue<>();
-    private long nextRank;
+    private long lastSequence;
 
-    /** Adds an action. */
+    /** Schedules an action. */
     void schedule(long due, Runnable action) {
-        queue.add(new Timer(due, ++nextRank, action));
+        queue.add(new Timer(due, ++lastSequence, action));
     }
 
     /** When the next action is due; {@code Long.MAX_VALUE} if there is none. */
@@ -26,7 +26,7 @@
         return queue.isEmpty() ? Long.MAX_VALUE : queue.peek().due;
     }
 
-    /** Runs one action that is due; false if there is none. */
+    /** Runs one action that is due; false if none is due. */
     boolean runNext(long now) {
         if (queue.isEmpty() || queue.peek().due > now) {
             return false;
--- a/src/test/java/cairnbridge/fleet/membership/SwimProtocolPropertyTest.java
+++ b/src/test/java/cairnbridge/fleet/membership/SwimProtocolPropertyTest.java
@@ -16,18 +16,18 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What must hold after any course of joins, crashes, freezes, cuts, losses and heals. A course that
- * fails is made shorter, step by step, and printed with its seed. -Dfleet.courses=N plays more of
- * them.
+ * Checks invariants after random sequences of joins, crashes, freezes, partitions, packet loss and
+ * heals. A failing run is reduced step by step to a shorter one that also fails, and printed with
+ * its seed. -Dfleet.courses=N sets the number of runs.
  */
 class SwimProtocolPropertyTest {
-    private static final int COURSES = Integer.getInteger("fleet.courses", 60);
-    private static final int STEPS = 14;
-    private static final int MOST = 14;
-    private static final long FIRST = Long.getLong("fleet.seed", 1);
+    private static final int RUNS = Integer.getInteger("fleet.courses", 60);
+    private static final int STEPS_PER_RUN = 14;
+    private static final int MAX_NODES = 14;
+    private static final long FIRST_SEED = Long.getLong("fleet.seed", 1);
 
-    /** What a step of a random run does. */
-    enum What {
+    /** What a step does to the simulated network. */
+    enum Action {
         JOIN,
         CRASH,
         RESTART,
@@ -41,60 +41,62 @@
         PASS
     }
 
-    /** One step of a random run. */
-    record Step(What what, int who, int value) {}
+    /** One step of a random run; the action determines how the numbers are used. */
+    record Step(Action action, int node, int value) {}
 
     @Test
-    void afterQuietAllThatLiveHoldTheSameAndNoIncarnationGoesBack() {
-        for (long seed = FIRST; seed < FIRST + COURSES; seed++) {
-            List<Step> course = course(seed);
-            String wrong = play(seed, course);
-            if (!wrong.isEmpty()) {
-                fail("seed " + seed + ": " + shortest(seed, course));
+    void viewsAgreeAfterHealingAndIncarnationsNeverDecrease() {
+        for (long seed = FIRST_SEED; seed < FIRST_SEED + RUNS; seed++) {
+            List<Step> steps = randomSteps(seed);
+            String violation = run(seed, steps);
+            if (!violation.isEmpty()) {
+                fail("seed " + seed + ": " + shrink(seed, steps));
             }
         }
     }
 
-    private static List<Step> course(long seed) {
-        RandomGenerator chance = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-        List<Step> course = new ArrayList<>();
-        for (int i = 0; i < STEPS; i++) {
-            What[] all = What.values();
-            course.add(
+    private static List<Step> randomSteps(long seed) {
+        RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
+        List<Step> steps = new ArrayList<>();
+        for (int i = 0; i < STEPS_PER_RUN; i++) {
+            Action[] actions = Action.values();
+            steps.add(
                     new Step(
-                            all[chance.nextInt(all.length)],
-                            chance.nextInt(1000),
-                            chance.nextInt(1000)));
-            course.add(new Step(What.PASS, 0, chance.nextInt(1000)));
+                            actions[random.nextInt(actions.length)],
+                            random.nextInt(1000),
+                            random.nextInt(1000)));
+            steps.add(new Step(Action.PASS, 0, random.nextInt(1000)));
         }
-        return course;
+        return steps;
     }
 
-    private static String shortest(long seed, List<Step> course) {
-        List<Step> left = new ArrayList<>(course);
-        for (int i = left.size() - 1; i >= 0; i--) {
-            List<Step> without = new ArrayList<>(left);
+    private static String shrink(long seed, List<Step> steps) {
+        List<Step> remaining = new ArrayList<>(steps);
+        for (int i = remaining.size() - 1; i >= 0; i--) {
+            List<Step> without = new ArrayList<>(remaining);
             without.remove(i);
-            if (!play(seed, without).isEmpty()) {
-                left = without;
+            if (!run(seed, without).isEmpty()) {
+                remaining = without;
             }
         }
-        return play(seed, left) + " after " + left;
+        return run(seed, remaining) + " after " + remaining;
     }
 
-    private static String play(long seed, List<Step> course) {
+    private static String run(long seed, List<Step> steps) {
         SimulatedNet net = new SimulatedNet(SwimSettings.DEFAULT, seed);
-        Map<List<MemberId>, Incarnation> newest = new HashMap<>();
-        List<String> back = new ArrayList<>();
+        Map<List<MemberId>, Incarnation> latestIncarnations = new HashMap<>();
+        List<String> decreases = new ArrayList<>();
         net.watcher =
-                (holder, before, after, why) -> {
+                (observer, before, after, reason) -> {
                     if (after != null && before != null) {
                         Incarnation last =
-                                newest.put(List.of(holder.id, after.id()), after.incarnation());
+                                latestIncarnations.put(
+                                        List.of(observer.id, after.id()), after.incarnation());
                         if (last != null
-                                && holder.machine != null
+                                && observer.machine != null
                                 && last.compareTo(after.incarnation()) > 0) {
-                            back.add(holder.id + " goes back on " + after.id());
+                            decreases.add(
+                                    observer.id + " decreases the incarnation of " + after.id());
                         }
                     }
                 };
@@ -103,8 +105,8 @@
             net.add("p" + i, seedNode);
         }
         net.pass(5 * SECOND);
-        for (Step step : course) {
-            take(net, step, newest);
+        for (Step step : steps) {
+            perform(net, step, latestIncarnations);
         }
         net.heal();
         net.loss = 0;
@@ -113,52 +115,53 @@
             return net.disagreement();
         }
         net.pass(15 * SECOND);
-        return back.isEmpty() ? net.disagreement() : back.get(0);
+        return decreases.isEmpty() ? net.disagreement() : decreases.get(0);
     }
 
-    private static void take(SimulatedNet net, Step step, Map<List<MemberId>, Incarnation> newest) {
+    private static void perform(
+            SimulatedNet net, Step step, Map<List<MemberId>, Incarnation> latestIncarnations) {
         List<Node> running = net.running();
-        Node who = running.isEmpty() ? null : running.get(step.who % running.size());
-        Node any = net.nodes().get(step.who % net.nodes().size());
+        Node runningNode = running.isEmpty() ? null : running.get(step.node % running.size());
+        Node anyNode = net.nodes().get(step.node % net.nodes().size());
         Node first = net.nodes().get(0);
-        switch (step.what) {
+        switch (step.action) {
             case JOIN -> {
-                if (net.nodes().size() < MOST && who != null) {
-                    // One that runs and is within reach is among its seeds, else nobody could ever
-                    // find it.
-                    Node node = net.add("p" + net.nodes().size(), first, who);
-                    net.side(node, who.side);
+                if (net.nodes().size() < MAX_NODES && runningNode != null) {
+                    // A running, reachable node is among the seeds; otherwise the new node could
+                    // never be found.
+                    Node node = net.add("p" + net.nodes().size(), first, runningNode);
+                    net.side(node, runningNode.side);
                     net.pass(SECOND / 20);
                 }
             }
             case CRASH -> {
-                // One seed outlives everything: with none, parts that never met could not find one
-                // another.
-                if (who != null && running.size() > 2 && who != first) {
-                    net.crash(who);
+                // The first node, a seed of all others, never crashes: without any seed, partitions
+                // that never met could not find each other.
+                if (runningNode != null && running.size() > 2 && runningNode != first) {
+                    net.crash(runningNode);
                 }
             }
             case RESTART -> {
-                if (!any.running && who != null) {
-                    net.side(any, who.side);
-                    newest.keySet().removeIf(pair -> pair.get(0).equals(any.id));
-                    net.start(any, first, who);
+                if (!anyNode.running && runningNode != null) {
+                    net.side(anyNode, runningNode.side);
+                    latestIncarnations.keySet().removeIf(pair -> pair.get(0).equals(anyNode.id));
+                    net.start(anyNode, first, runningNode);
                     net.pass(SECOND / 20);
                 }
             }
             case LEAVE -> {
-                if (who != null && running.size() > 3 && who != first) {
-                    net.leave(who);
+                if (runningNode != null && running.size() > 3 && runningNode != first) {
+                    net.leave(runningNode);
                 }
             }
             case FREEZE -> {
-                if (who != null && running.size() > 2) {
-                    net.freeze(who);
+                if (runningNode != null && running.size() > 2) {
+                    net.freeze(runningNode);
                 }
             }
             case THAW -> {
-                if (any.frozen && any.running) {
-                    net.thaw(any);
+                if (anyNode.frozen && anyNode.running) {
+                    net.thaw(anyNode);
                 }
             }
             case CUT ->
@@ -168,10 +171,10 @@
                                             net.side(
                                                     node,
                                                     (node.id.name().hashCode() * 31 + step.value)
-                                                            % (2 + step.who % 2)));
+                                                            % (2 + step.node % 2)));
             case ONE_WAY -> {
-                if (who != null) {
-                    net.cutOneWay(who, any);
+                if (runningNode != null) {
+                    net.cutOneWay(runningNode, anyNode);
                 }
             }
             case HEAL -> net.heal();
--- a/src/test/java/cairnbridge/fleet/membership/SwimProtocolTest.java
+++ b/src/test/java/cairnbridge/fleet/membership/SwimProtocolTest.java
@@ -22,22 +22,22 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** One short story for each failure that the view must outlive, on a simulated net. */
+/** Tests each kind of failure that the membership protocol must handle, on a simulated network. */
 class SwimProtocolTest {
     private static final long STEP = SECOND / 20;
     private final SimulatedNet net = new SimulatedNet(SwimSettings.DEFAULT, 7);
 
-    /** Deaths of members that ran and were not frozen, as any view held them. */
+    /** Deaths, in any view, of members that were in fact running, not frozen and reachable. */
     private final List<String> falseDeaths = new ArrayList<>();
 
-    private List<Node> fleet(int size) {
+    private List<Node> startFleet(int size) {
         Node first = net.add("p0");
         for (int i = 1; i < size; i++) {
             net.add("p" + i, first);
         }
-        agreed(10);
+        awaitAgreement(10);
         net.watcher =
-                (holder, before, after, why) -> {
+                (observer, before, after, reason) -> {
                     if (after != null
                             && after.status() == MemberStatus.DEAD
                             && (before == null || before.status().isLive())
@@ -45,75 +45,72 @@
                                     .anyMatch(
                                             node ->
                                                     node.id.equals(after.id())
-                                                            && node.side == holder.side)) {
-                        falseDeaths.add(holder.id + " held " + after.id() + " dead: " + why);
+                                                            && node.side == observer.side)) {
+                        falseDeaths.add(observer.id + ": " + after.id() + " dead: " + reason);
                     }
                 };
         return net.nodes();
     }
 
-    private long agreed(int seconds) {
-        long took = net.untilAgreed(seconds * SECOND, STEP);
-        assertTrue(took >= 0, "after " + seconds + " s " + net.disagreement());
-        return took;
+    private long awaitAgreement(int seconds) {
+        long duration = net.untilAgreed(seconds * SECOND, STEP);
+        assertTrue(duration >= 0, "after " + seconds + " s " + net.disagreement());
+        return duration;
     }
 
     @Test
-    void twelveJoinThroughOneSeedThatThenDies() {
+    void membersAgreeAfterTheirOnlySeedCrashes() {
         Node seed = net.add("seed");
         for (int i = 0; i < 12; i++) {
             net.add("p" + i, seed);
         }
         net.pass(SECOND);
         net.crash(seed);
-        assertTrue(agreed(5) > 0);
+        assertTrue(awaitAgreement(5) > 0);
     }
 
-    /**
-     * Guards against a fleet that starts at once, each with its first call answered before the rest
-     * was there.
-     */
+    /** Guards against slow convergence when first calls are answered before others have joined. */
     @Test
-    void twoHundredThatStartAtOnceAgreeWithinSevenSeconds() {
+    void twoHundredSimultaneousStartsAgreeWithinSevenSeconds() {
         Node seed = net.add("seed");
         for (int i = 0; i < 200; i++) {
             net.add("p" + i, seed);
         }
-        assertTrue(agreed(7) > 0);
+        assertTrue(awaitAgreement(7) > 0);
     }
 
     /**
-     * Guards against parts of a fleet that starts at once, each joined through one that knew
-     * nobody: they found each other only when the seeds that were missed were asked, after five
-     * seconds and more.
+     * Guards against partitions of a fleet that starts at once, when each part joins through a seed
+     * that knows no other member: the parts used to find each other only through calls to missing
+     * seeds after five seconds and more.
      */
     @Test
-    void twoPairsThatMetFirstAreOneFleetWithinTwoSeconds() {
+    void twoSeparatelyJoinedPairsMergeWithinTwoSeconds() {
         Node[] seeds = {net.add("p1"), net.add("p2"), net.add("p3"), net.add("p4")};
         List.of(seeds).forEach(net::crash);
         net.pass(SECOND);
-        // By its life the first asks the second, the third the last.
-        long[] lives = {3_000, 3_003, 3_002, 3_005};
+        // The generation selects the first seed to call: p1 calls p2, and p3 calls p4.
+        long[] generations = {3_000, 3_003, 3_002, 3_005};
         for (int i = 0; i < seeds.length; i++) {
-            net.start(seeds[i], lives[i], seeds);
+            net.start(seeds[i], generations[i], seeds);
         }
         net.pass(SECOND / 10);
-        assertEquals(2, seeds[0].machine.liveCount(), "two pairs");
-        assertEquals(2, seeds[3].machine.liveCount(), "two pairs");
-        assertTrue(agreed(2) > 0);
+        assertEquals(2, seeds[0].machine.liveCount(), "size of each pair");
+        assertEquals(2, seeds[3].machine.liveCount(), "size of each pair");
+        assertTrue(awaitAgreement(2) > 0);
     }
 
     @Test
-    void aThirdThatDiesInOneInstantIsKnownByAllWithinFiveSeconds() {
-        List<Node> nodes = fleet(48);
+    void simultaneousCrashOfAThirdIsDetectedWithinFiveSeconds() {
+        List<Node> nodes = startFleet(48);
         nodes.subList(0, 16).forEach(net::crash);
-        agreed(5);
+        awaitAgreement(5);
         assertEquals(List.of(), falseDeaths);
     }
 
     @Test
-    void whoWasFrozenRefutesItsDeathAndNeverForgotNorSplit() {
-        List<Node> nodes = fleet(12);
+    void resumedMemberRefutesItsDeathAndDeclaresNobodyDead() {
+        List<Node> nodes = startFleet(12);
         Node frozen = nodes.get(5);
         Incarnation before = frozen.machine.self().incarnation();
         net.freeze(frozen);
@@ -121,18 +118,18 @@
         assertEquals(
                 MemberStatus.DEAD, nodes.get(0).machine.stateOf(frozen.id).orElseThrow().status());
         net.thaw(frozen);
-        agreed(5);
+        awaitAgreement(5);
         Incarnation after = nodes.get(0).machine.stateOf(frozen.id).orElseThrow().incarnation();
-        assertEquals(before.generation(), after.generation(), "it is the same life");
-        assertTrue(after.refutation() > before.refutation(), "it has refuted");
-        assertEquals(List.of(), falseDeaths, "it took none of the others for dead meanwhile");
+        assertEquals(before.generation(), after.generation(), "generation after the freeze");
+        assertTrue(after.refutation() > before.refutation(), "no refutation after the freeze");
+        assertEquals(List.of(), falseDeaths, "false deaths during the freeze");
         assertTrue(frozen.machine.statistics().counters().pauses() > 0);
     }
 
     @ParameterizedTest
     @ValueSource(ints = {2, 3})
-    void partsThatWereCutOffFindOneAnotherThoughSomeDiedAndJoinedOnEachSide(int parts) {
-        List<Node> nodes = new ArrayList<>(fleet(24));
+    void partitionsMergeAfterCrashesAndJoinsOnEachSide(int parts) {
+        List<Node> nodes = new ArrayList<>(startFleet(24));
         for (int i = 0; i < nodes.size(); i++) {
             net.side(nodes.get(i), i % parts);
         }
@@ -144,17 +141,17 @@
         }
         net.pass(20 * SECOND);
         net.heal();
-        agreed(5);
-        assertEquals(List.of(), falseDeaths, "nobody is held dead by one that could hear it");
+        awaitAgreement(5);
+        assertEquals(List.of(), falseDeaths, "false deaths of reachable members");
     }
 
     /**
-     * Guards against a cut found out ever more slowly, as those asked in vain are taken for
-     * deafness of one's own.
+     * Guards against ever slower detection of a partition, when unanswered ping requests to
+     * unreachable relays count as bad local reception.
      */
     @Test
-    void aSmallPartThatIsCutOffKnowsItWithinTwelveSeconds() {
-        List<Node> nodes = fleet(24);
+    void smallPartitionDetectsUnreachableMembersWithinTwelveSeconds() {
+        List<Node> nodes = startFleet(24);
         nodes.forEach(node -> net.side(node, nodes.indexOf(node) < 4 ? 1 : 0));
         net.pass(12 * SECOND);
         for (Node node : nodes.subList(0, 4)) {
@@ -162,13 +159,13 @@
                     4,
                     node.machine.statistics().members().alive()
                             + node.machine.statistics().members().suspect(),
-                    node.id + " holds more");
+                    node.id + " has members of the other partition in its view");
         }
     }
 
     @Test
-    void aLinkThatWorksOneWayOnlyKillsNobody() {
-        List<Node> nodes = fleet(8);
+    void oneWayLinksCauseNoFalseDeaths() {
+        List<Node> nodes = startFleet(8);
         net.cutOneWay(nodes.get(1), nodes.get(2));
         net.cutOneWay(nodes.get(3), nodes.get(4));
         net.pass(60 * SECOND);
@@ -177,13 +174,13 @@
     }
 
     @Test
-    void aNewLifeUnderTheSameAddressTakesThePlaceOfTheOldOneWhileThatIsStillToldOf() {
-        List<Node> nodes = fleet(12);
+    void restartedMemberReplacesItsOldGenerationDuringSuspicionGossip() {
+        List<Node> nodes = startFleet(12);
         Node node = nodes.get(3);
         net.crash(node);
-        net.pass(SECOND + SECOND / 2); // It is suspected, and told of as suspect.
+        net.pass(SECOND + SECOND / 2); // Other members gossip that it is suspect.
         net.start(node, nodes.get(0));
-        agreed(5);
+        awaitAgreement(5);
         net.pass(15 * SECOND);
         assertEquals("", net.disagreement());
         assertEquals(
@@ -193,33 +190,33 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 4_000_000_000_000_000L})
-    void aClockThatJumpedBetweenTwoLivesDoesNotShutAMemberOut(long life) {
-        List<Node> nodes = fleet(12);
+    void memberRejoinsAfterAClockJumpBetweenGenerations(long generation) {
+        List<Node> nodes = startFleet(12);
         Node node = nodes.get(3);
         net.crash(node);
         net.pass(10 * SECOND);
-        net.start(node, life, nodes.get(0));
-        agreed(5);
+        net.start(node, generation, nodes.get(0));
+        awaitAgreement(5);
         net.crash(node);
         net.pass(10 * SECOND);
         net.start(node, nodes.get(0));
-        agreed(5);
-        Incarnation held = nodes.get(7).machine.stateOf(node.id).orElseThrow().incarnation();
-        assertEquals(node.machine.self().incarnation().generation(), held.generation());
+        awaitAgreement(5);
+        Incarnation recorded = nodes.get(7).machine.stateOf(node.id).orElseThrow().incarnation();
+        assertEquals(node.machine.self().incarnation().generation(), recorded.generation());
     }
 
     @Test
-    void lossOfThreeInTenKillsNobodyForGood() {
-        fleet(24);
+    void viewsAgreeAgainAfterThirtyPercentLoss() {
+        startFleet(24);
         net.loss = 0.3;
         net.pass(30 * SECOND);
         net.loss = 0;
-        agreed(5);
+        awaitAgreement(5);
     }
 
     @Test
-    void underLossOfATenthNobodyThatLivesIsHeldDead() {
-        fleet(30);
+    void tenPercentLossCausesNoFalseDeaths() {
+        startFleet(30);
         net.loss = 0.1;
         net.doubled = 0.05;
         net.pass(600 * SECOND);
@@ -227,76 +224,77 @@
     }
 
     /**
-     * Guards against a death for want of one rumour: of hundreds of refutations each misses some
-     * view.
+     * Guards against a false death because of one lost update: each of hundreds of refutations
+     * fails to reach some view.
      */
     @Test
-    void whoHoldsASuspectForLongAsksItBeforeItsTimeIsUp() {
-        fleet(50);
+    void longSuspicionsAreRefutedBeforeTheirTimeout() {
+        startFleet(50);
         net.loss = 0.1;
         net.pass(900 * SECOND);
         long suspicions =
                 net.nodes().stream()
                         .mapToLong(node -> node.machine.statistics().counters().suspicions())
                         .sum();
-        assertTrue(suspicions > 1_000, suspicions + " suspicions had to be refuted");
+        assertTrue(suspicions > 1_000, suspicions + " suspicions");
         assertEquals(List.of(), falseDeaths);
     }
 
     @Test
-    void whoTakesItsLeaveIsNoCrashAndIsNotAskedForAgain() {
-        List<Node> nodes = fleet(12);
-        Set<String> held = new TreeSet<>();
+    void leavingMemberIsNotDeclaredDead() {
+        List<Node> nodes = startFleet(12);
+        Set<String> statusChanges = new TreeSet<>();
         net.watcher =
-                (holder, before, after, why) -> {
+                (observer, before, after, reason) -> {
                     if (before == null || after == null || before.status() != after.status()) {
-                        held.add(after == null ? "none" : after.status() + " " + why);
+                        statusChanges.add(after == null ? "none" : after.status() + " " + reason);
                     }
                 };
         net.leave(nodes.get(4));
-        agreed(2);
+        awaitAgreement(2);
         net.pass(20 * SECOND);
-        assertEquals(Set.of("LEFT LEFT"), held);
+        assertEquals(Set.of("LEFT LEFT"), statusChanges);
         assertEquals(0, nodes.get(0).machine.statistics().counters().deaths());
     }
 
-    /**
-     * Guards against a leave that is held a crash for half a minute by a view that one rumour has
-     * missed.
-     */
+    /** Guards against a missed leave that one view takes for a crash for half a minute. */
     @Test
-    void whoHasMissedALeaveIsToldOnceItSuspects() {
-        List<Node> nodes = fleet(12);
-        Node gone = nodes.get(4);
-        net.cutOneWay(gone, nodes.get(9));
+    void memberThatMissedALeaveIsCorrectedWhenItSuspects() {
+        List<Node> nodes = startFleet(12);
+        Node left = nodes.get(4);
+        net.cutOneWay(left, nodes.get(9));
         nodes.forEach(node -> net.cutOneWay(node, nodes.get(9)));
-        net.leave(gone);
+        net.leave(left);
         net.pass(SECOND);
         assertEquals(
-                MemberStatus.ALIVE, nodes.get(9).machine.stateOf(gone.id).orElseThrow().status());
+                MemberStatus.ALIVE, nodes.get(9).machine.stateOf(left.id).orElseThrow().status());
         net.heal();
         net.pass(9 * SECOND);
         assertEquals(
-                MemberStatus.LEFT, nodes.get(9).machine.stateOf(gone.id).orElseThrow().status());
+                MemberStatus.LEFT, nodes.get(9).machine.stateOf(left.id).orElseThrow().status());
     }
 
     @Test
-    void whatAMemberTellsReachesAllAndUnknownFieldsWithIt() {
-        List<Node> nodes = fleet(12);
-        byte[] raw = {(byte) 0xA2, 0x64, 's', 't', 'a', 't', 'e', 0, 0x61, 'x', 1};
-        byte[] good = {
+    void announcedMetadataReachesAllWithUnknownFields() {
+        List<Node> nodes = startFleet(12);
+        byte[] withUnknownState = {(byte) 0xA2, 0x64, 's', 't', 'a', 't', 'e', 0, 0x61, 'x', 1};
+        byte[] withUnknownField = {
             (byte) 0xA2, 0x64, 'z', 'o', 'n', 'e', 0x61, 'b', 0x63, 'n', 'e', 'w', (byte) 0x82, 1, 2
         };
-        net.tell(nodes.get(2), new MembershipEvent.MetadataChanged(MemberMetadata.ofEncoded(good)));
+        net.tell(
+                nodes.get(2),
+                new MembershipEvent.MetadataChanged(MemberMetadata.ofEncoded(withUnknownField)));
         net.pass(3 * SECOND);
         for (Node node : nodes) {
             assertEquals(
-                    MemberMetadata.ofEncoded(good),
+                    MemberMetadata.ofEncoded(withUnknownField),
                     node.machine.stateOf(nodes.get(2).id).orElseThrow().metadata());
             assertEquals(
                     "b", node.machine.stateOf(nodes.get(2).id).orElseThrow().metadata().zone());
         }
-        net.tell(nodes.get(2), new MembershipEvent.MetadataChanged(MemberMetadata.ofEncoded(raw)));
+        net.tell(
+                nodes.get(2),
+                new MembershipEvent.MetadataChanged(MemberMetadata.ofEncoded(withUnknownState)));
         net.pass(3 * SECOND);
         assertEquals(
                 MemberMetadata.Lifecycle.UNKNOWN,
@@ -304,16 +302,16 @@
     }
 
     @Test
-    void theTableIsBoundedAndTheGoneMakeRoomForTheLiving() {
-        SwimSettings small = SwimSettings.builder().maxMembers(10).build();
-        SimulatedNet other = new SimulatedNet(small, 3);
-        Node alone = other.add("alone");
-        MemberState one = alone.machine.self();
+    void fullTableEvictsDeadAndLeftMembersForLiveOnes() {
+        SwimSettings settings = SwimSettings.builder().maxMembers(10).build();
+        SimulatedNet smallNet = new SimulatedNet(settings, 3);
+        Node alone = smallNet.add("alone");
+        MemberState self = alone.machine.self();
         for (int i = 0; i < 1_000; i++) {
-            MemberState claim =
+            MemberState statement =
                     new MemberState(
                             new MemberId("x" + i),
-                            one.endpoint(),
+                            self.endpoint(),
                             new Incarnation(5, 0),
                             i % 2 == 0 ? MemberStatus.DEAD : MemberStatus.LEFT,
                             null,
@@ -322,69 +320,69 @@
             Packet packet =
                     new Packet(
                             new MemberId("x0"),
-                            one.endpoint(),
+                            self.endpoint(),
                             new Incarnation(6, 0),
                             0,
-                            new Message.Gossip(List.of(claim)));
-            other.tell(alone, new MembershipEvent.PacketReceived(packet));
+                            new Message.Gossip(List.of(statement)));
+            smallNet.tell(alone, new MembershipEvent.PacketReceived(packet));
         }
         assertTrue(alone.machine.view().members().size() <= 11);
         for (int i = 0; i < 20; i++) {
             Packet packet =
                     new Packet(
                             new MemberId("y" + i),
-                            one.endpoint(),
+                            self.endpoint(),
                             new Incarnation(6, 0),
                             0,
                             new Message.Gossip(List.of()));
-            other.tell(alone, new MembershipEvent.PacketReceived(packet));
+            smallNet.tell(alone, new MembershipEvent.PacketReceived(packet));
         }
         assertEquals(11, alone.machine.statistics().members().alive());
         assertTrue(alone.machine.statistics().counters().discardedMessages() > 0);
     }
 
     @Test
-    void oldDeadAreForgottenByAllAndStayForgotten() {
-        SwimSettings brief = SwimSettings.builder().retention(20 * SECOND, 20 * SECOND).build();
-        SimulatedNet other = new SimulatedNet(brief, 3);
-        Node first = other.add("p0");
+    void deadMembersAreForgottenByAllAfterTheRetention() {
+        SwimSettings settings = SwimSettings.builder().retention(20 * SECOND, 20 * SECOND).build();
+        SimulatedNet smallNet = new SimulatedNet(settings, 3);
+        Node first = smallNet.add("p0");
         for (int i = 1; i < 8; i++) {
-            other.add("p" + i, first);
+            smallNet.add("p" + i, first);
         }
-        other.pass(15 * SECOND);
-        other.crash(other.nodes().get(5));
-        other.pass(40 * SECOND);
-        for (Node node : other.running()) {
-            assertTrue(node.machine.stateOf(other.nodes().get(5).id).isEmpty());
+        smallNet.pass(15 * SECOND);
+        smallNet.crash(smallNet.nodes().get(5));
+        smallNet.pass(40 * SECOND);
+        for (Node node : smallNet.running()) {
+            assertTrue(node.machine.stateOf(smallNet.nodes().get(5).id).isEmpty());
         }
-        assertEquals("", other.disagreement());
+        assertEquals("", smallNet.disagreement());
     }
 
     @Test
-    void twoWhoCallThemselvesTheSameAreSaidOnce() {
-        List<Node> nodes = fleet(4);
-        Node impostor = net.add("p2", nodes.get(0));
+    void duplicateMemberNameIsLoggedOncePerProcess() {
+        List<Node> nodes = startFleet(4);
+        Node duplicate = net.add("p2", nodes.get(0));
         net.pass(30 * SECOND);
         long lines =
                 net.said.stream()
                         .filter(line -> line.contains("uses the member name p2 as well"))
                         .count();
-        assertTrue(lines >= 1 && lines <= 2, net.said + " by " + impostor.id);
+        assertTrue(lines >= 1 && lines <= 2, net.said + " by " + duplicate.id);
     }
 
     @Test
-    void theSameEventsGiveTheSameActions() {
-        assertEquals(course(11), course(11));
-        assertNotEquals(course(11), course(12));
+    void sameSeedGivesTheSameRun() {
+        assertEquals(statusChangeLog(11), statusChangeLog(11));
+        assertNotEquals(statusChangeLog(11), statusChangeLog(12));
     }
 
-    private static String course(long seed) {
+    private static String statusChangeLog(long seed) {
         SimulatedNet net = new SimulatedNet(SwimSettings.DEFAULT, seed);
-        StringBuilder course = new StringBuilder();
+        StringBuilder changes = new StringBuilder();
         net.watcher =
-                (holder, before, after, why) ->
-                        course.append(net.now())
-                                .append(holder.id)
+                (observer, before, after, reason) ->
+                        changes.append(net.now())
+                                .append(observer.id)
                                 .append(after.id())
                                 .append(after.status());
         Node first = net.add("p0");
@@ -395,6 +393,6 @@
         net.crash(net.nodes().get(4));
         net.loss = 0.2;
         net.pass(20 * SECOND);
-        return course + " " + net.nodes().get(0).bytes;
+        return changes + " " + net.nodes().get(0).bytes;
     }
 }
