--- a/src/main/java/cairnbridge/fleet/FleetMember.java
+++ b/src/main/java/cairnbridge/fleet/FleetMember.java
@@ -25,8 +25,8 @@
 import java.util.logging.Logger;
 
 /**
- * One proxy as a member of its fleet. Start it once, and end it by {@link #stop}, or by {@link
- * #leave} where the end is intended.
+ * One proxy as a member of its fleet. Start it once. For a planned shutdown call {@link #leave},
+ * which announces it to the fleet; otherwise call {@link #stop}.
  */
 public final class FleetMember {
     private static final Logger LOG = Logger.getLogger(FleetMember.class.getName());
@@ -57,7 +57,7 @@
     private volatile int quotaDivisor;
 
     /**
-     * Where the proxy is reached, as it announces it.
+     * The addresses that the proxy announces.
      *
      * @param clients the address for clients
      * @param admin the address of the admin endpoint; empty if there is none
@@ -65,13 +65,13 @@
     public record Addresses(String clients, String admin) {}
 
     /**
-     * What is persisted of zone plans.
+     * The persisted epoch of zone plans, and how to persist a later one.
      *
      * @param floor the highest epoch that was persisted
      * @param persist persists an epoch; the result is false if that fails
      */
     public record PlanEpochs(long floor, LongFunction<CompletableFuture<Boolean>> persist) {
-        /** Nothing was persisted and nothing will be. */
+        /** No epoch was persisted; persisting one succeeds without effect. */
         public static final PlanEpochs NONE =
                 new PlanEpochs(0, epoch -> CompletableFuture.completedFuture(true));
     }
@@ -141,7 +141,7 @@
                         + config.transport().cluster().name());
     }
 
-    /** Where other members reach this one. */
+    /** The endpoint at which other members reach this one. */
     public Endpoint endpoint() {
         return transport.endpoint();
     }
@@ -151,7 +151,7 @@
         transport.leave();
     }
 
-    /** Stops without telling anybody. */
+    /** Stops without an announcement; other members then detect a failure. */
     public void stop() {
         transport.stop();
     }
@@ -169,7 +169,10 @@
                 .build();
     }
 
-    /** Follows the membership, on the transport's thread. */
+    /**
+     * Handles membership changes, published views and application messages, on the transport's
+     * thread.
+     */
     private final class TransportListener implements GossipTransport.Listener {
         @Override
         public void memberChanged(
@@ -232,12 +235,12 @@
         }
     }
 
-    // For any thread.
+    // Methods for any thread.
 
     /**
      * Asks a member for its endpoint list.
      *
-     * @param callback gets the answer on the transport's thread, empty if there is none
+     * @param callback receives the answer on the transport's thread, empty if there is none
      */
     public void requestEndpointList(MemberId member, Consumer<Optional<byte[]>> callback) {
         transport.execute(
@@ -267,22 +270,26 @@
         return zones.map(member -> member.execute(command));
     }
 
-    /** Whether this member may poll a discovery that does not answer; it last did so long ago. */
+    /**
+     * Whether this member may poll a discovery service that does not answer.
+     *
+     * @param sinceLastPollMillis the time since its last poll
+     */
     public boolean mayPollDiscovery(long sinceLastPollMillis) {
         return !config.uses().sharesDiscoveryPolls()
                 || polling.mayPoll(transport.view(), sinceLastPollMillis);
     }
 
-    /** The view as of a moment ago. */
+    /** The view that was published last. */
     public MembershipView view() {
         return transport.view();
     }
 
     /**
-     * Answers an operator's call about members.
+     * Answers an operator's query about members.
      *
      * @param call {@code members}, {@code members-json} or {@code member}
-     * @param id the member that the last one is about
+     * @param id the name of the member that {@code member} is about
      * @return empty if there is no such member
      */
     public Optional<String> status(String call, String id) {
--- a/src/main/java/cairnbridge/fleet/FleetStatusFormatter.java
+++ b/src/main/java/cairnbridge/fleet/FleetStatusFormatter.java
@@ -24,7 +24,7 @@
 
 /**
  * Formats a view for operators: as a table, as one line of JSON, and as metrics. Column names, JSON
- * keys and metric names are an interface; some differ from the names in the code.
+ * keys and metric names are part of the external interface; some differ from the names in the code.
  */
 final class FleetStatusFormatter {
     private static final JsonFactory JSON = new JsonFactory();
@@ -55,7 +55,7 @@
 
     // The table.
 
-    /** One row for each member, and a summary. */
+    /** A table with one row for each member, and a summary line. */
     static String membersTable(MembershipView view) {
         StringBuilder text = new StringBuilder();
         appendRow(text, COLUMNS);
@@ -192,7 +192,7 @@
 
     // Metrics.
 
-    /** Values by name; names of counters end in {@code _total}. */
+    /** The values of metrics by name; names of counters end in {@code _total}. */
     static Map<String, Long> metrics(
             MembershipView view, TransportMetrics transport, int quotaDivisor) {
         MembershipStatistics statistics = view.statistics();
--- a/src/main/java/cairnbridge/fleet/LocalProxy.java
+++ b/src/main/java/cairnbridge/fleet/LocalProxy.java
@@ -7,11 +7,11 @@
 import cairnbridge.zones.ZoneProxy;
 
 /**
- * What a member of a fleet asks of the proxy that it belongs to. Every method is called on the
- * transport's thread and returns at once.
+ * The proxy that a fleet member belongs to, as seen by that member. Every method is called on the
+ * transport's thread and must not block.
  */
 public interface LocalProxy extends ZoneProxy {
-    /** What the proxy does at present. */
+    /** The proxy's current operating state. */
     MemberMetadata.Lifecycle lifecycle();
 
     /** The proxy's current metrics. */
@@ -26,20 +26,20 @@
     RecoveryProgress recoveryProgress();
 
     /**
-     * The endpoint list in discovery's own form, for a member that has none; empty if this one may
-     * not pass it on.
+     * The endpoint list in discovery's format, for a member that has none; empty if this proxy may
+     * not share its list.
      */
     byte[] endpointList();
 
-    /** The limits of the whole fleet are divided among this many proxies from now on. */
+    /** The limits of the whole fleet are now divided among this number of proxies. */
     void proxyCountChanged(int proxies);
 
     /** Most members of this one's zone cannot reach the node. */
     void nodeSuspected(long node);
 
-    /** It is this member's turn to check the health of a node. */
+    /** Checks the health of a node; the check is due and assigned to this member. */
     void probe(long node);
 
-    /** The view was published, which happens some times a second. */
+    /** A view was published; this happens several times per second. */
     void viewPublished(MembershipView view);
 }
--- a/src/main/java/cairnbridge/fleet/MembershipChangeLog.java
+++ b/src/main/java/cairnbridge/fleet/MembershipChangeLog.java
@@ -7,7 +7,10 @@
 import java.util.Locale;
 import java.util.function.Consumer;
 
-/** Logs one line for each change of a member's status; in a flood the first ones and a count. */
+/**
+ * Logs one line for each change of a member's status. In each period only the first lines are
+ * logged, and then the number of those left out.
+ */
 final class MembershipChangeLog {
     private static final int MAX_LINES = 20;
     private static final long PERIOD = 10 * Ticks.SECOND;
@@ -22,7 +25,10 @@
         this.log = log;
     }
 
-    /** One of the states is null for a member that was not known, or is forgotten. */
+    /**
+     * Logs a change of status; {@code before} is null for a new member, {@code after} for a
+     * forgotten one.
+     */
     void statusChanged(MemberState before, MemberState after, StatusChangeReason reason, long now) {
         MemberStatus oldStatus = before == null ? null : before.status();
         MemberStatus newStatus = after == null ? null : after.status();
--- a/src/main/java/cairnbridge/fleet/member/Endpoint.java
+++ b/src/main/java/cairnbridge/fleet/member/Endpoint.java
@@ -47,7 +47,7 @@
     /**
      * The address for a socket.
      *
-     * @throws IllegalArgumentException if the text is not an IP address after all
+     * @throws IllegalArgumentException if the host has the form of an IP address but is not one
      */
     public InetSocketAddress toSocketAddress() {
         try {
--- a/src/main/java/cairnbridge/fleet/member/Incarnation.java
+++ b/src/main/java/cairnbridge/fleet/member/Incarnation.java
@@ -1,11 +1,11 @@
 package cairnbridge.fleet.member;
 
 /**
- * Orders what is said about one member: statements about a later incarnation replace those about an
+ * Orders statements about one member: statements about a later incarnation replace those about an
  * earlier one (SWIM, section 4.2).
  *
  * @param generation the number of the process run, from 1; higher than that of every earlier run
- * @param refutation how many statements of others the member has refuted in this run
+ * @param refutation how many suspicions or death reports the member has refuted in this run
  */
 public record Incarnation(long generation, int refutation) implements Comparable<Incarnation> {
     /** Checks the numbers. */
@@ -23,7 +23,7 @@
     /** The lowest incarnation, not below this one, that replaces a statement about another one. */
     public Incarnation superseding(Incarnation stated) {
         if (stated.generation > generation) {
-            // The clock went back between two runs of the process.
+            // The system clock was set back between two runs of the process.
             return new Incarnation(stated.generation + 1, 0);
         }
         boolean refutes = stated.generation == generation && stated.refutation >= refutation;
--- a/src/main/java/cairnbridge/fleet/member/MemberMetadata.java
+++ b/src/main/java/cairnbridge/fleet/member/MemberMetadata.java
@@ -4,8 +4,8 @@
 import java.util.Objects;
 
 /**
- * What a member announces about itself. It is kept and passed on as the bytes that the member
- * wrote, so that fields of a newer version reach other newer members through older ones. Fields
+ * What a member announces about itself. It is stored and forwarded as the bytes that the member
+ * encoded, so that fields of a newer version reach other newer members through older ones. Fields
  * that are missing or malformed read as their default.
  *
  * <p>Instances are immutable; the bytes are decoded when a field is first read.
@@ -19,18 +19,18 @@
 
     public static final int MAX_ZONES = 8;
 
-    /** Longer texts are cut. */
+    /** Longer texts are truncated. */
     public static final int MAX_TEXT_LENGTH = 64;
 
-    /** What a member does at present. The names are part of the protocol. */
+    /** The operating state of a member. The names are part of the protocol. */
     public enum Lifecycle {
         /** It does not take requests yet. */
         STARTING,
         /** It takes requests. */
         SERVING,
-        /** It was told by an operator not to take requests. */
+        /** It takes no requests because an operator set it to standby. */
         STANDBY,
-        /** It finishes what it has and ends. */
+        /** It finishes its requests in flight and then exits. */
         DRAINING,
         /** Not announced, or a state of a newer version. */
         UNKNOWN
@@ -38,7 +38,7 @@
 
     private final byte[] encoded;
 
-    /** Decoded when first needed; any thread may do it, all with the same result. */
+    /** Decoded on first use; threads that decode at the same time get equal results. */
     private volatile MemberMetadataFields fields;
 
     private MemberMetadata(byte[] encoded) {
@@ -46,9 +46,9 @@
     }
 
     /**
-     * Metadata as it was received.
+     * Creates metadata from the bytes received from a member.
      *
-     * @throws IllegalArgumentException if it is too long to be passed on
+     * @throws IllegalArgumentException if it is longer than {@link #MAX_BYTES}
      */
     public static MemberMetadata ofEncoded(byte[] encoded) {
         if (encoded.length > MAX_BYTES) {
@@ -58,7 +58,7 @@
         return new MemberMetadata(encoded.clone());
     }
 
-    /** Metadata to be announced, with a default for each field. */
+    /** Starts metadata to be announced, with a default for each field. */
     public static Builder builder() {
         return new Builder();
     }
@@ -83,7 +83,7 @@
         return fields().region();
     }
 
-    /** The address at which the member takes clients, empty if not announced. */
+    /** The address at which the member accepts client connections, empty if not announced. */
     public String clientAddress() {
         return fields().clientAddress();
     }
@@ -113,7 +113,7 @@
         return fields().lifecycle();
     }
 
-    /** Whether the member has started and does not end yet. */
+    /** Whether the member has started and is not draining. */
     public boolean isOperational() {
         return lifecycle() == Lifecycle.SERVING || lifecycle() == Lifecycle.STANDBY;
     }
@@ -156,20 +156,20 @@
 
         private Builder() {}
 
-        /** The member's zone and the region in which that lies. */
+        /** The member's zone and the region of that zone. */
         public Builder location(String newZone, String newRegion) {
             zone = Objects.requireNonNull(newZone);
             region = Objects.requireNonNull(newRegion);
             return this;
         }
 
-        /** Where clients reach the member; empty if nowhere. */
+        /** The address at which clients reach the member; empty if there is none. */
         public Builder clientAddress(String address) {
             clientAddress = Objects.requireNonNull(address);
             return this;
         }
 
-        /** Where the admin endpoint listens; empty if there is none. */
+        /** The address of the admin endpoint; empty if there is none. */
         public Builder adminAddress(String address) {
             adminAddress = Objects.requireNonNull(address);
             return this;
@@ -205,7 +205,7 @@
             return this;
         }
 
-        /** The metadata; texts and lists that are too long are cut. */
+        /** Encodes the metadata; texts and lists that are too long are truncated. */
         public MemberMetadata build() {
             MemberMetadataFields fields =
                     new MemberMetadataFields(
--- a/src/main/java/cairnbridge/fleet/member/MemberMetadataCodec.java
+++ b/src/main/java/cairnbridge/fleet/member/MemberMetadataCodec.java
@@ -18,8 +18,8 @@
 import java.util.Map;
 
 /**
- * Metadata as a CBOR map (RFC 8949) from field names to values. This is the one place that knows
- * the names on the wire, some of which differ from those in the code.
+ * Encodes metadata as a CBOR map (RFC 8949) from field names to values. The names on the wire are
+ * defined only here; some differ from the names in the code.
  */
 final class MemberMetadataCodec {
     private static final String ZONE = "zone";
@@ -41,7 +41,7 @@
     private static final String ZONE_OUTCOMES = "zones";
     private static final String UNREACHABLE_ZONES = "out";
 
-    /** A zone's outcome is three numbers of one flat list. */
+    /** Zone outcomes are one flat list with three numbers for each zone. */
     private static final int NUMBERS_PER_OUTCOME = 3;
 
     private static final int MAX_PROTOCOL_VERSION = 255;
@@ -57,12 +57,12 @@
         ByteArrayOutputStream out = new ByteArrayOutputStream(INITIAL_BYTES);
         try (CBORGenerator generator = CBOR.createGenerator(out)) {
             generator.writeStartObject();
-            generator.writeStringField(ZONE, cut(fields.zone()));
-            generator.writeStringField(REGION, cut(fields.region()));
+            generator.writeStringField(ZONE, truncate(fields.zone()));
+            generator.writeStringField(REGION, truncate(fields.region()));
             generator.writeNumberField(PROTOCOL_VERSION, fields.protocolVersion());
             generator.writeStringField(LIFECYCLE, fields.lifecycle().name());
-            generator.writeStringField(CLIENT_ADDRESS, cut(fields.clientAddress()));
-            generator.writeStringField(ADMIN_ADDRESS, cut(fields.adminAddress()));
+            generator.writeStringField(CLIENT_ADDRESS, truncate(fields.clientAddress()));
+            generator.writeStringField(ADMIN_ADDRESS, truncate(fields.adminAddress()));
             generator.writeNumberField(PLAN_EPOCH, fields.planEpoch());
             writeRecovery(generator, fields.recovery());
             writeMetrics(generator, fields.metrics());
@@ -107,7 +107,7 @@
         }
     }
 
-    /** Metadata takes its room in every datagram, so that a field that says nothing is left out. */
+    /** Leaves out a zero, which is the default, to save space in every datagram. */
     private static void writeUnlessZero(CBORGenerator generator, String field, long number)
             throws IOException {
         if (number != 0) {
@@ -135,7 +135,7 @@
         return numbers;
     }
 
-    private static String cut(String text) {
+    private static String truncate(String text) {
         return text.length() > MemberMetadata.MAX_TEXT_LENGTH
                 ? text.substring(0, MemberMetadata.MAX_TEXT_LENGTH)
                 : text;
@@ -143,7 +143,7 @@
 
     // Decoding.
 
-    /** Never fails: a field that cannot be read has its default. */
+    /** Decodes metadata and never fails: a field that cannot be read has its default. */
     static MemberMetadataFields decode(byte[] encoded) {
         WireFields wire = WireFields.parse(encoded);
         return new MemberMetadataFields(
@@ -203,7 +203,7 @@
         private final Map<String, Boolean> flags = new HashMap<>();
         private final Map<String, List<Long>> lists = new HashMap<>();
 
-        /** Reads up to the first fault; what came before it counts. */
+        /** Reads fields up to the first malformed one and ignores the rest. */
         static WireFields parse(byte[] encoded) {
             WireFields fields = new WireFields();
             try (JsonParser parser = CBOR.createParser(encoded)) {
@@ -229,7 +229,7 @@
             }
         }
 
-        /** Of a field that is there twice the last one counts, whatever the types. */
+        /** Stores a value; the last one replaces earlier values of the same name and any type. */
         private <T> void put(Map<String, T> values, String name, T value) {
             texts.remove(name);
             numbers.remove(name);
@@ -253,7 +253,7 @@
         }
 
         String text(String name) {
-            return cut(texts.getOrDefault(name, ""));
+            return truncate(texts.getOrDefault(name, ""));
         }
 
         long number(String name) {
--- a/src/main/java/cairnbridge/fleet/member/MemberState.java
+++ b/src/main/java/cairnbridge/fleet/member/MemberState.java
@@ -3,16 +3,16 @@
 import java.util.Optional;
 
 /**
- * What is known about one member, and what is passed on about it. Instances are immutable, so that
- * one object can stand in many views.
+ * The known state of one member, as a view contains it and messages carry it. Instances are
+ * immutable, so that many views can share one.
  *
  * @param id the member
- * @param endpoint where it is reached
+ * @param endpoint the endpoint at which it is reached
  * @param incarnation the incarnation that the status is about
- * @param status what is believed about it
- * @param reportedBy who reported it suspect or dead; null if nobody did
+ * @param status the status of the member
+ * @param reportedBy the member that reported it suspect or dead; null if none did
  * @param metadataVersion how often the member has changed its metadata in this generation
- * @param metadata what the member announces about itself; null if only its status is passed on
+ * @param metadata what the member announces about itself; null if it is not known or not sent
  */
 public record MemberState(
         MemberId id,
@@ -22,13 +22,16 @@
         MemberId reportedBy,
         long metadataVersion,
         MemberMetadata metadata) {
-    /** Bytes of all fields of fixed size, at most. */
+    /** The most bytes that all fields of fixed size take. */
     private static final int FIXED_BYTES = 35;
 
-    /** Bytes that the length of a text, of a byte string adds, at most; an absent value's byte. */
+    /** The most bytes that the CBOR header of a text takes. */
     private static final int TEXT_HEADER_BYTES = 2;
 
+    /** The most bytes that the CBOR header of a byte string takes. */
     private static final int BLOB_HEADER_BYTES = 3;
+
+    /** The bytes of an absent value. */
     private static final int ABSENT_BYTES = 1;
 
     /** A member that has announced itself alive, without metadata. */
@@ -36,7 +39,7 @@
         return new MemberState(id, endpoint, incarnation, MemberStatus.ALIVE, null, 0, null);
     }
 
-    /** What a member announces about itself at the start of its process. */
+    /** The state that a member announces of itself at the start of its process. */
     public static MemberState initial(
             MemberId id, Endpoint endpoint, long generation, MemberMetadata metadata) {
         Incarnation first = new Incarnation(generation, 0);
@@ -66,35 +69,35 @@
         return Optional.ofNullable(metadata);
     }
 
-    /** Whether the member is present and has announced this zone. */
+    /** Whether the member has announced this zone. */
     public boolean isInZone(String zone) {
         return metadata != null && metadata.zone().equals(zone);
     }
 
-    /** The same member with another status, reported by a member or, with null, by nobody. */
+    /** A copy with another status, reported by a member, or by none if null. */
     public MemberState withStatus(MemberStatus newStatus, MemberId newReportedBy) {
         return withStatus(incarnation, newStatus, newReportedBy);
     }
 
-    /** The same member with a status of another incarnation. */
+    /** A copy with a status that is about another incarnation. */
     public MemberState withStatus(
             Incarnation newIncarnation, MemberStatus newStatus, MemberId newReportedBy) {
         return new MemberState(
                 id, endpoint, newIncarnation, newStatus, newReportedBy, metadataVersion, metadata);
     }
 
-    /** The same member with newer metadata; its incarnation and status stay. */
+    /** A copy with newer metadata and the same incarnation and status. */
     public MemberState withMetadata(long newVersion, MemberMetadata newMetadata) {
         return new MemberState(
                 id, endpoint, incarnation, status, reportedBy, newVersion, newMetadata);
     }
 
-    /** The status alone. */
+    /** A copy without metadata, to send only the status. */
     public MemberState withoutMetadata() {
         return metadata == null ? this : withMetadata(0, null);
     }
 
-    /** An upper bound of the bytes that this state takes in a message. */
+    /** An upper bound of the bytes that this state takes in an encoded message. */
     public int maxEncodedBytes() {
         int reporterBytes =
                 reportedBy == null ? ABSENT_BYTES : reportedBy.name().length() + TEXT_HEADER_BYTES;
--- a/src/main/java/cairnbridge/fleet/member/MemberStatus.java
+++ b/src/main/java/cairnbridge/fleet/member/MemberStatus.java
@@ -1,13 +1,16 @@
 package cairnbridge.fleet.member;
 
 /**
- * What is believed about a member. Of two statements about the same incarnation the one with the
+ * The status of a member in a view. Of two statements about the same incarnation the one with the
  * later constant replaces the other. The order is part of the protocol.
  */
 public enum MemberStatus {
-    /** It answers. */
+    /** It answers probes, or has refuted a suspicion. */
     ALIVE,
-    /** It did not answer somebody; it is declared dead unless it refutes that in time. */
+    /**
+     * It did not answer a member's probe; it is declared dead unless it refutes the suspicion in
+     * time.
+     */
     SUSPECT,
     /** It did not refute a suspicion in time. */
     DEAD,
--- a/src/main/java/cairnbridge/fleet/member/Message.java
+++ b/src/main/java/cairnbridge/fleet/member/Message.java
@@ -7,18 +7,21 @@
  * section 4.1).
  */
 public sealed interface Message {
-    /** The member states that are passed on with this message. */
+    /** The member states that this message carries. */
     List<MemberState> updates();
 
     /**
      * Asks a member whether it is alive.
      *
-     * @param sequence is repeated in the answer
-     * @param target who is meant: another member may have taken over the address
+     * @param sequence the number that the answer repeats
+     * @param target the id of the pinged member, as another member may have taken over its address
      */
     record Ping(long sequence, MemberId target, List<MemberState> updates) implements Message {}
 
-    /** Answers a {@link Ping}, one's own or one that was relayed. */
+    /**
+     * Answers a {@link Ping}, a {@link PingRequest} whose target answered, or a {@link
+     * StateTransfer}.
+     */
     record Ack(long sequence, List<MemberState> updates) implements Message {}
 
     /**
@@ -30,15 +33,15 @@
             implements Message {}
 
     /**
-     * Answers a {@link PingRequest} whose target did not answer. That it arrives at all shows that
-     * the sender of the request can be reached (Lifeguard).
+     * Answers a {@link PingRequest} whose target did not answer. Its arrival shows that the sender
+     * of the request can be reached (Lifeguard).
      */
     record Nack(long sequence, List<MemberState> updates) implements Message {}
 
     /** Carries nothing but updates. */
     record Gossip(List<MemberState> updates) implements Message {}
 
-    /** One hash for each partition of the sender's view, to be compared; over streams only. */
+    /** One hash for each partition of the sender's view, for comparison; sent over streams only. */
     record Digest(List<Long> partitionHashes) implements Message {
         @Override
         public List<MemberState> updates() {
@@ -47,9 +50,9 @@
     }
 
     /**
-     * A message between components that use the view; over streams only.
+     * A message between components that use the view; sent over streams only.
      *
-     * @param topic the component it is for
+     * @param topic selects the component that handles the message
      */
     record ApplicationMessage(String topic, byte[] payload) implements Message {
         @Override
@@ -58,6 +61,6 @@
         }
     }
 
-    /** Everything that is held in the partitions with these numbers; over streams only. */
+    /** All member states in the given partitions of the sender's view; sent over streams only. */
     record StateTransfer(List<Integer> partitions, List<MemberState> updates) implements Message {}
 }
--- a/src/main/java/cairnbridge/fleet/member/ZoneOutcome.java
+++ b/src/main/java/cairnbridge/fleet/member/ZoneOutcome.java
@@ -1,10 +1,10 @@
 package cairnbridge.fleet.member;
 
 /**
- * How attempts of one member at the nodes of one zone ended lately.
+ * The recent outcomes of one member's attempts at the nodes of one zone.
  *
  * @param zoneHash the hash of the zone's name
- * @param attempts how many ended
- * @param failures how many of them failed or were late
+ * @param attempts the number of attempts that ended
+ * @param failures the number of those that failed or were late
  */
 public record ZoneOutcome(long zoneHash, long attempts, long failures) {}
--- a/src/main/java/cairnbridge/fleet/transport/ByteRateLimiter.java
+++ b/src/main/java/cairnbridge/fleet/transport/ByteRateLimiter.java
@@ -2,7 +2,9 @@
 
 import cairnbridge.time.Ticks;
 
-/** A token bucket of bytes that holds what may be sent in one second. */
+/**
+ * A token bucket that limits the bytes sent per second; its capacity is the limit of one second.
+ */
 final class ByteRateLimiter {
     private final double bytesPerSecond;
     private double available;
@@ -14,7 +16,7 @@
         filledAt = now;
     }
 
-    /** Takes the bytes if they may be sent now. */
+    /** Takes tokens for the bytes; false, with none taken, if too few are available. */
     boolean tryAcquire(int bytes, long now) {
         double refill = Math.max(0, now - filledAt) * bytesPerSecond / Ticks.SECOND;
         available = Math.min(bytesPerSecond, available + refill);
--- a/src/main/java/cairnbridge/fleet/transport/DatagramLink.java
+++ b/src/main/java/cairnbridge/fleet/transport/DatagramLink.java
@@ -10,11 +10,11 @@
 import java.util.function.Consumer;
 
 /**
- * Sends and receives packets as datagrams, within the limit of bytes a second. What cannot be sent
- * counts as lost. It belongs to the transport's thread.
+ * Sends and receives packets as datagrams; sending is limited in bytes per second. A datagram that
+ * cannot be sent is dropped, as if the network had lost it. Used by the transport's thread only.
  */
 final class DatagramLink {
-    /** Datagrams received in one turn of the loop. */
+    /** The most datagrams received in one iteration of the event loop. */
     private static final int RECEIVE_BATCH = 256;
 
     private final TransportSettings.Address address;
@@ -26,9 +26,10 @@
     private final ByteBuffer datagram = ByteBuffer.allocateDirect(PacketFramer.MAX_DATAGRAM_BYTES);
 
     /**
-     * A link over the datagram socket.
+     * Creates a link over the transport's datagram socket.
      *
-     * @param maxDatagramBytes the longest datagram to send, with its header and its code
+     * @param maxDatagramBytes the longest datagram to send, including the frame's header and
+     *     authentication code
      */
     DatagramLink(
             TransportSettings.Address address,
@@ -46,7 +47,7 @@
                 maxDatagramBytes - FrameAuthenticator.HEADER_BYTES - FrameAuthenticator.MAC_BYTES;
     }
 
-    /** Hands the packets that have arrived to a consumer, up to some at a time. */
+    /** Passes the packets that have arrived to a consumer, at most {@link #RECEIVE_BATCH}. */
     void receive(Consumer<Packet> consumer) throws IOException {
         for (int i = 0; i < RECEIVE_BATCH; i++) {
             datagram.clear();
@@ -64,7 +65,7 @@
         }
     }
 
-    /** Sends a packet in a protocol version. */
+    /** Sends a packet, encoded in the given protocol version. */
     void send(Endpoint to, Packet packet, int version) {
         ByteBuffer frame = framer.encode(packet, version, maxPacketBytes);
         int bytes = frame.remaining();
@@ -80,7 +81,7 @@
                 metrics.countFailure();
             }
         } catch (IOException | IllegalArgumentException e) {
-            metrics.countFailure(); // As if the datagram had been lost.
+            metrics.countFailure(); // Same effect as a datagram lost in the network.
         }
     }
 }
--- a/src/main/java/cairnbridge/fleet/transport/FrameAuthenticator.java
+++ b/src/main/java/cairnbridge/fleet/transport/FrameAuthenticator.java
@@ -10,9 +10,9 @@
 
 /**
  * The frame around each message: a header of 28 bytes, the packet, and the first 16 bytes of an
- * HMAC-SHA-256 (RFC 2104) over both. The header holds a magic number (2 bytes), the protocol
+ * HMAC-SHA-256 (RFC 2104) over both. The header consists of a magic number (2 bytes), the protocol
  * version (1), a zero (1), the cluster (4), the generation of the sender (8), a sequence number (8)
- * and the length of the packet (4). For use by one thread.
+ * and the length of the packet (4). Not thread-safe.
  */
 final class FrameAuthenticator {
     static final int HEADER_BYTES = 28;
@@ -42,7 +42,7 @@
     private final int newestVersion;
 
     /**
-     * An authenticator for the frames of one cluster.
+     * Creates an authenticator for the frames of one cluster.
      *
      * @param newestVersion the newest protocol version that is accepted
      */
@@ -61,7 +61,7 @@
         }
     }
 
-    /** The frame around a packet. */
+    /** Encodes a frame and appends its authentication code. */
     ByteBuffer encode(AuthenticatedFrame frame) {
         byte[] packet = frame.packet();
         ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES + packet.length + MAC_BYTES);
@@ -79,7 +79,7 @@
     }
 
     /**
-     * The length of a whole frame, by its header.
+     * Reads the length of a whole frame from its header.
      *
      * @param maxPacketBytes longer packets are rejected
      */
@@ -105,7 +105,7 @@
         return HEADER_BYTES + length + MAC_BYTES;
     }
 
-    /** The content of one whole frame, once its authentication code has been verified. */
+    /** Verifies the authentication code of one whole frame and returns the frame's content. */
     AuthenticatedFrame decode(ByteBuffer in, int maxPacketBytes) throws RejectedFrameException {
         int length = frameLength(in, maxPacketBytes);
         if (in.remaining() != length) {
--- a/src/main/java/cairnbridge/fleet/transport/GossipTransport.java
+++ b/src/main/java/cairnbridge/fleet/transport/GossipTransport.java
@@ -26,11 +26,15 @@
 import java.util.logging.Logger;
 
 /**
- * Runs a member's {@link SwimProtocol} over UDP and TCP, on one thread with a selector of its own.
- * Start a thread with it; any thread may then read the view, change the metadata and execute tasks.
+ * Runs a member's {@link SwimProtocol} over UDP and TCP, on one thread with its own selector. Start
+ * a thread with this runnable; any thread may then read the view, change the metadata and submit
+ * tasks.
  */
 public final class GossipTransport implements Runnable {
-    /** Who follows the membership; called on the transport's thread, and must not block. */
+    /**
+     * Receives membership changes and application messages. Called on the transport's thread;
+     * implementations must not block.
+     */
     public interface Listener {
         /** See {@link MembershipHost#memberChanged}. */
         void memberChanged(
@@ -39,29 +43,33 @@
         /**
          * A member has sent an application message.
          *
-         * @param answer takes the answer, empty for none, on the transport's thread, now or later
+         * @param answer the callback for the answer, an empty array for none; to be called on the
+         *     transport's thread, at once or later
          */
         void messageReceived(
                 MemberId sender, String topic, byte[] payload, Consumer<byte[]> answer);
 
-        /** The view has changed, or some time has passed. */
+        /** A view was published: soon after a change, and periodically without one. */
         void viewPublished(MembershipView view);
 
-        /** Something that an operator should read. */
+        /** Logs a message for operators. */
         void log(String message);
     }
 
     private static final Logger LOG = Logger.getLogger(GossipTransport.class.getName());
 
-    /** A changed view is published at most this often, an unchanged one this often. */
+    /** The shortest time between publications of changed views. */
     private static final long MIN_PUBLISH_INTERVAL = Ticks.SECOND / 10;
 
+    /** The time after which an unchanged view is published again. */
     private static final long PUBLISH_INTERVAL = Ticks.SECOND / 4;
 
     /** Leaving is announced for this many gossip intervals. */
     private static final int LEAVE_INTERVALS = 3;
 
-    /** Ids of calls with application messages begin here, apart from the protocol's own. */
+    /**
+     * Ids of application calls start here, so that they differ from the protocol's own call ids.
+     */
     private static final long FIRST_APPLICATION_CALL = 1L << 61;
 
     private final TransportSettings settings;
@@ -77,18 +85,18 @@
     private final DatagramLink datagrams;
     private final StreamCalls calls;
 
-    /** Incoming calls that the protocol has to answer, by the id that it was given. */
+    /** Incoming calls that the protocol has yet to answer, by call id. */
     private final Map<Long, StreamCall> unansweredCalls = new HashMap<>();
 
-    /** Outgoing calls with application messages, and who waits for their answers. */
+    /** The callbacks of outgoing application calls, by call id. */
     private final Map<Long, Consumer<Optional<byte[]>>> applicationCalls = new HashMap<>();
 
-    private final CountDownLatch ended = new CountDownLatch(1);
+    private final CountDownLatch terminated = new CountDownLatch(1);
     private long lastIncomingCall;
     private long lastApplicationCall = FIRST_APPLICATION_CALL;
     private long publishedAt;
     private long nextPublication;
-    private int spokenVersion = FrameAuthenticator.OLDEST_VERSION;
+    private int datagramVersion = FrameAuthenticator.OLDEST_VERSION;
     private boolean viewChanged = true;
     private volatile MembershipView latestView;
     private volatile boolean stopped;
@@ -96,7 +104,7 @@
     /**
      * Binds the sockets.
      *
-     * @param metadata what this member announces at first
+     * @param metadata the metadata that this member announces at first
      * @param seed the seed of the protocol's random choices
      * @throws IOException if the address is not available, which the message names
      */
@@ -160,24 +168,24 @@
         return new Endpoint(host, sockets.port());
     }
 
-    // For any thread.
+    // Methods for any thread.
 
-    /** Where other members reach this one. */
+    /** The endpoint at which other members reach this one. */
     public Endpoint endpoint() {
         return endpoint;
     }
 
-    /** What has been sent and received. */
+    /** The counters of traffic, failures and rejected frames. */
     public TransportMetrics metrics() {
         return metrics;
     }
 
-    /** The view as of a moment ago. */
+    /** The view that was published last. */
     public MembershipView view() {
         return latestView;
     }
 
-    /** Changes what this member announces. */
+    /** Replaces the metadata that this member announces. */
     public void updateMetadata(MemberMetadata metadata) {
         events.add(new MembershipEvent.MetadataChanged(metadata));
         sockets.selector.wakeup();
@@ -189,24 +197,30 @@
         sockets.selector.wakeup();
     }
 
-    /** Leaves the fleet, announces that for some tenths of a second, and ends. */
+    /**
+     * Announces for a few gossip intervals, some tenths of a second, that this member leaves, and
+     * stops.
+     */
     public void leave() throws InterruptedException {
         events.add(new MembershipEvent.LeaveRequested());
         sockets.selector.wakeup();
         long announcing = LEAVE_INTERVALS * swimSettings.gossipInterval();
-        ended.await(Ticks.toMillis(announcing), TimeUnit.MILLISECONDS);
+        terminated.await(Ticks.toMillis(announcing), TimeUnit.MILLISECONDS);
         stop();
     }
 
-    /** Ends without telling anybody. */
+    /** Stops without an announcement; other members then detect a failure. */
     public void stop() {
         stopped = true;
         sockets.selector.wakeup();
     }
 
-    // The transport's thread.
+    // Methods for the transport's thread.
 
-    /** Sends an application message; the callback gets the answer, empty if there is none. */
+    /**
+     * Calls a member with an application message; the callback receives the answer, empty if none
+     * arrives.
+     */
     public void call(
             Endpoint to, String topic, byte[] payload, Consumer<Optional<byte[]>> callback) {
         lastApplicationCall++;
@@ -221,17 +235,17 @@
         try (sockets) {
             protocol.start(Ticks.now());
             while (!stopped) {
-                turn();
+                runOnce();
             }
         } catch (IOException e) {
             LOG.log(Level.SEVERE, "fleet: the gossip transport has failed", e);
         } finally {
             calls.closeAll();
-            ended.countDown();
+            terminated.countDown();
         }
     }
 
-    private void turn() throws IOException {
+    private void runOnce() throws IOException {
         select();
         for (SelectionKey key : sockets.selector.selectedKeys()) {
             handle(key);
@@ -245,7 +259,7 @@
         }
         long now = Ticks.now();
         protocol.fireTimers(now);
-        calls.endOverdue(now);
+        calls.failOverdue(now);
         publishIfDue(now);
     }
 
@@ -257,7 +271,7 @@
 
     private void handle(SelectionKey key) throws IOException {
         if (key.attachment() instanceof StreamCall call) {
-            call.ready();
+            call.onReady();
         } else if (key.isValid() && key.isAcceptable()) {
             calls.accept();
         } else if (key.isValid() && key.isReadable()) {
@@ -287,7 +301,7 @@
             publishedAt = now;
             viewChanged = false;
             latestView = protocol.view();
-            spokenVersion =
+            datagramVersion =
                     ProtocolVersions.newestCommon(
                             latestView.liveMembers(), settings.protocolVersion());
             listener.viewPublished(latestView);
@@ -299,7 +313,7 @@
         events.add(new MembershipEvent.CallCompleted(callId, null));
     }
 
-    /** Hands what arrives on calls to the protocol and to the listener. */
+    /** Passes packets that arrive on calls to the protocol and to the listener. */
     private final class CallHandler implements StreamCall.Handler {
         @Override
         public void frameReceived(StreamCall call, FrameAuthenticator.AuthenticatedFrame frame)
@@ -362,11 +376,11 @@
         }
     }
 
-    /** What the protocol asks for. */
+    /** Performs the protocol's actions on the sockets and passes its events to the listener. */
     private final class ProtocolHost implements MembershipHost {
         @Override
         public void send(Endpoint to, Packet packet) {
-            datagrams.send(to, packet, spokenVersion);
+            datagrams.send(to, packet, datagramVersion);
         }
 
         @Override
--- a/src/main/java/cairnbridge/fleet/transport/PacketCodec.java
+++ b/src/main/java/cairnbridge/fleet/transport/PacketCodec.java
@@ -24,12 +24,13 @@
 import java.util.List;
 
 /**
- * Packets as CBOR (RFC 8949): an array of the sender, its endpoint, generation and refutation, the
- * view digest (from protocol version 2 on), the kind of message, the fields of that kind, and the
- * updates, each an array of its own. Fields behind those known here are skipped.
+ * Encodes packets as CBOR (RFC 8949): an array of the sender, its endpoint, generation and
+ * refutation, the view digest (from protocol version 2 on), the kind of message, the fields of that
+ * kind, and the updates, each a nested array. Unknown fields at the end of a packet or of an update
+ * are ignored.
  */
 final class PacketCodec {
-    /** More updates, or partitions, than any fleet has members are malformed. */
+    /** A packet with more updates or partitions is malformed; no fleet has that many members. */
     private static final int MAX_ELEMENTS = 100_000;
 
     private static final int VERSION_WITH_DIGEST = 2;
@@ -52,7 +53,9 @@
 
     // Encoding.
 
-    /** The packet in at most this many bytes: updates that do not fit are left out from the end. */
+    /**
+     * Encodes a packet; updates at the end of the list that do not fit into the bytes are left out.
+     */
     static byte[] encode(Packet packet, int version, int maxBytes) {
         List<MemberState> updates = packet.message().updates();
         byte[] bytes = encode(packet, version, updates);
@@ -159,7 +162,7 @@
 
     // Decoding.
 
-    /** The packet in the bytes; anything that is not a whole packet is rejected. */
+    /** Decodes a packet; bytes that are not a whole packet are rejected. */
     static Packet decode(byte[] bytes, int version) throws RejectedFrameException {
         try (JsonParser parser = CBOR.createParser(bytes)) {
             require(parser.nextToken() == JsonToken.START_ARRAY);
@@ -169,7 +172,7 @@
             long digest = version >= VERSION_WITH_DIGEST ? readLong(parser) : 0;
             return new Packet(sender, endpoint, incarnation, digest, readMessage(parser));
         } catch (IOException | RuntimeException e) {
-            // RuntimeException: the records check their values, and Jackson some of its input.
+            // RuntimeException: from the records' checks of their values, or from Jackson.
             throw new RejectedFrameException(RejectionReason.MALFORMED);
         }
     }
@@ -196,7 +199,7 @@
         };
     }
 
-    /** Reads the ordinal of a constant. */
+    /** Reads the ordinal of an enum constant and returns the constant. */
     private static <T> T readConstant(JsonParser parser, T[] constants) throws IOException {
         int ordinal = (int) readLong(parser);
         require(ordinal >= 0 && ordinal < constants.length);
@@ -256,7 +259,7 @@
                 metadata);
     }
 
-    /** Null where the state has none. */
+    /** Reads the metadata of a member state; null if it has none. */
     private static MemberMetadata readMetadata(JsonParser parser) throws IOException {
         JsonToken token = parser.nextToken();
         require(token == JsonToken.VALUE_NULL || token == JsonToken.VALUE_EMBEDDED_OBJECT);
--- a/src/main/java/cairnbridge/fleet/transport/PacketFramer.java
+++ b/src/main/java/cairnbridge/fleet/transport/PacketFramer.java
@@ -5,8 +5,8 @@
 import java.nio.ByteBuffer;
 
 /**
- * Turns packets into authenticated frames and back. Datagrams are checked against replay; frames of
- * a call are not, since a connection does not deliver twice. It belongs to the transport's thread.
+ * Turns packets into authenticated frames and back. Datagrams are checked for replay; frames of a
+ * call are not, since TCP does not deliver data twice. Used by the transport's thread only.
  */
 final class PacketFramer {
     /** The longest datagram that is decoded. */
@@ -18,9 +18,9 @@
     private long lastSequence;
 
     /**
-     * A framer of one member.
+     * Creates the framer of one member.
      *
-     * @param self the member; its own datagrams are not checked against replay
+     * @param self the member, whose own datagrams are not checked for replay
      */
     PacketFramer(MemberId self, FrameAuthenticator authenticator, ReplayWindow replayWindow) {
         this.self = self;
@@ -33,7 +33,7 @@
         return authenticator;
     }
 
-    /** A packet as a frame with the next sequence number. */
+    /** Encodes a packet as a frame with the next sequence number. */
     ByteBuffer encode(Packet packet, int version, int maxPacketBytes) {
         byte[] encoded = PacketCodec.encode(packet, version, maxPacketBytes);
         lastSequence++;
@@ -42,7 +42,7 @@
                         version, packet.incarnation().generation(), lastSequence, encoded));
     }
 
-    /** The packet of a datagram. */
+    /** Authenticates and decodes a datagram; rejects a replayed one. */
     Packet decodeDatagram(ByteBuffer datagram) throws RejectedFrameException {
         FrameAuthenticator.AuthenticatedFrame frame =
                 authenticator.decode(datagram, MAX_DATAGRAM_BYTES);
@@ -56,7 +56,7 @@
         return packet;
     }
 
-    /** The packet of a frame that arrived on a call. */
+    /** Decodes the packet in an authenticated frame. */
     Packet decode(FrameAuthenticator.AuthenticatedFrame frame) throws RejectedFrameException {
         return PacketCodec.decode(frame.packet(), frame.version());
     }
--- a/src/main/java/cairnbridge/fleet/transport/ProtocolVersions.java
+++ b/src/main/java/cairnbridge/fleet/transport/ProtocolVersions.java
@@ -4,7 +4,7 @@
 import cairnbridge.fleet.member.MemberState;
 import java.util.List;
 
-/** Chooses the protocol version that a member speaks. */
+/** Chooses the protocol version that a member uses for its datagrams. */
 final class ProtocolVersions {
     private ProtocolVersions() {}
 
@@ -16,7 +16,7 @@
      */
     static int newestCommon(List<MemberState> members, int newest) {
         if (members.size() < 2) {
-            // A fleet that is not known yet may be one of the oldest version.
+            // Other members are not known yet and may support only the oldest version.
             return FrameAuthenticator.OLDEST_VERSION;
         }
         int lowest =
--- a/src/main/java/cairnbridge/fleet/transport/RejectedFrameException.java
+++ b/src/main/java/cairnbridge/fleet/transport/RejectedFrameException.java
@@ -1,6 +1,9 @@
 package cairnbridge.fleet.transport;
 
-/** A frame cannot be accepted. It has no stack trace, as strangers may cause many of them. */
+/**
+ * Thrown for a frame that is rejected. It has no stack trace, as unauthenticated senders can cause
+ * many.
+ */
 final class RejectedFrameException extends Exception {
     private static final long serialVersionUID = 1L;
     private final RejectionReason reason;
--- a/src/main/java/cairnbridge/fleet/transport/RejectionReason.java
+++ b/src/main/java/cairnbridge/fleet/transport/RejectionReason.java
@@ -2,9 +2,9 @@
 
 /** Why a frame was dropped before the membership protocol saw it. Each is counted in a metric. */
 public enum RejectionReason {
-    /** It does not begin as a frame. */
+    /** It does not begin with the magic number of a frame. */
     FOREIGN,
-    /** It ends before its length. */
+    /** It is shorter than a header, or than the length in its header. */
     CUT_SHORT,
     /** It belongs to another cluster. */
     OTHER_CLUSTER,
--- a/src/main/java/cairnbridge/fleet/transport/ReplayWindow.java
+++ b/src/main/java/cairnbridge/fleet/transport/ReplayWindow.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 
 /**
- * Accepts each datagram of a sender once, by a sliding window over its sequence numbers (RFC 4303,
- * section 3.4.3), and none of an earlier run of the sender's process. The senders that were heard
- * longest ago are forgotten first.
+ * Accepts each datagram of a sender at most once, by a sliding window over its sequence numbers
+ * (RFC 4303, section 3.4.3), and rejects datagrams of an earlier run of the sender's process. The
+ * number of senders is bounded; the least recently active one is evicted first.
  */
 final class ReplayWindow {
     private static final int WINDOW_BITS = Long.SIZE;
@@ -18,7 +18,7 @@
         private long generation;
         private long highest = -1;
 
-        /** Bit i stands for the sequence number highest - i. */
+        /** Bit i is set if the sequence number highest - i has been received. */
         private long received;
 
         void restart(long newGeneration) {
@@ -27,7 +27,7 @@
             received = 0;
         }
 
-        /** Notes a sequence number; false if it has been noted before, or is too old to tell. */
+        /** Records a sequence number; false if it is a duplicate or older than the window. */
         boolean add(long sequence) {
             long ahead = sequence - highest;
             if (ahead > 0) {
@@ -51,7 +51,7 @@
         windows = new LeastRecentlyUsedMap<>(maxSenders);
     }
 
-    /** Notes a datagram that has arrived; rejects it if it must not be handled. */
+    /** Records a datagram; rejects a replayed one and one of an earlier generation. */
     void accept(MemberId sender, long generation, long sequence) throws RejectedFrameException {
         SenderWindow window = windows.computeIfAbsent(sender, id -> new SenderWindow());
         if (generation < window.generation) {
--- a/src/main/java/cairnbridge/fleet/transport/StreamCall.java
+++ b/src/main/java/cairnbridge/fleet/transport/StreamCall.java
@@ -10,11 +10,11 @@
 import java.util.logging.Logger;
 
 /**
- * One call over a TCP connection of its own: a request frame, an answer frame, and the end. Both
- * the caller's and the called member's side. It belongs to the transport's thread.
+ * One call over its own TCP connection: a request frame, an answer frame, and the close. Serves as
+ * the caller's side and as the called member's side. Used by the transport's thread only.
  */
 final class StreamCall {
-    /** What becomes of a call. */
+    /** Receives the frames and the outcome of a call. */
     interface Handler {
         /** The other side's frame has arrived and was authenticated. */
         void frameReceived(StreamCall call, FrameAuthenticator.AuthenticatedFrame frame)
@@ -26,7 +26,7 @@
         /** The call has ended without an answer. */
         void failed(StreamCall call);
 
-        /** The connection is closed, for whatever reason. */
+        /** The connection is closed, after an answer or a failure. */
         void closed(StreamCall call);
     }
 
@@ -49,11 +49,11 @@
     private boolean closed;
 
     /**
-     * A call whose connection exists or is to be made by {@link #connect}.
+     * Creates a call over an accepted connection, or over one that {@link #connect} opens.
      *
-     * @param id the number of an outgoing call
-     * @param incoming whether another member has called
-     * @param deadline when the call has failed
+     * @param id the id of an outgoing call; unused for an incoming one
+     * @param incoming whether another member opened the call
+     * @param deadline the time after which the call fails
      */
     StreamCall(
             SocketChannel channel,
@@ -103,8 +103,8 @@
     /**
      * Connects and sends a frame.
      *
-     * @param from the local address: guards against a machine of many addresses, some of which
-     *     others do not know
+     * @param from the local address: guards against a connection from another address of this
+     *     machine, which other members may not know
      */
     void connect(
             Selector selector, InetSocketAddress from, InetSocketAddress to, ByteBuffer frame) {
@@ -116,7 +116,7 @@
             int interest = connected ? SelectionKey.OP_WRITE : SelectionKey.OP_CONNECT;
             key = channel.register(selector, interest, this);
         } catch (IOException | RuntimeException e) {
-            // RuntimeException: an address that the platform does not support.
+            // RuntimeException: from the platform, for an unsupported type of address.
             fail();
         }
     }
@@ -128,11 +128,11 @@
     /** Sends the answer to an incoming call. */
     void answer(ByteBuffer frame) {
         out = frame;
-        ready();
+        onReady();
     }
 
-    /** Does what the connection is ready for. */
-    void ready() {
+    /** Connects, writes or reads, as far as the connection is ready. */
+    void onReady() {
         if (closed || key == null || !key.isValid()) {
             return;
         }
@@ -176,7 +176,7 @@
             key.interestOps(0);
             handler.frameReceived(this, frame);
         } else if (count < 0) {
-            endedEarly();
+            rejectTruncated();
         }
     }
 
@@ -185,14 +185,14 @@
             frameLength = authenticator.frameLength(in.duplicate().flip(), maxFrameBytes);
         }
         if (frameLength > in.capacity() && !in.hasRemaining()) {
-            // The buffer grows with what has arrived: a header alone costs nobody megabytes.
+            // The buffer grows with the bytes received: a header alone allocates no megabytes.
             int capacity = Math.min(frameLength, 2 * in.capacity());
             in = ByteBuffer.allocate(capacity).put(in.flip());
         }
         return frameLength != LENGTH_UNKNOWN && in.position() >= frameLength;
     }
 
-    private void endedEarly() throws IOException, RejectedFrameException {
+    private void rejectTruncated() throws IOException, RejectedFrameException {
         if (!incoming && in.position() == 0) {
             throw new IOException("closed without an answer");
         }
--- a/src/main/java/cairnbridge/fleet/transport/StreamCalls.java
+++ b/src/main/java/cairnbridge/fleet/transport/StreamCalls.java
@@ -11,9 +11,9 @@
 import java.util.List;
 import java.util.function.LongConsumer;
 
-/** The open calls of a member, incoming and outgoing. They belong to the transport's thread. */
+/** The open calls of a member, incoming and outgoing. Used by the transport's thread only. */
 final class StreamCalls {
-    /** The most calls at a time. */
+    /** The most calls, incoming and outgoing, open at a time. */
     static final int MAX_CALLS = 64;
 
     private static final long TIMEOUT = 2 * Ticks.SECOND;
@@ -24,14 +24,14 @@
     private final PacketFramer framer;
     private final TransportMetrics metrics;
     private final StreamCall.Handler handler;
-    private final LongConsumer failedToBegin;
+    private final LongConsumer startFailureHandler;
     private final List<StreamCall> calls = new ArrayList<>();
 
     /**
-     * No calls yet.
+     * Creates an empty set of calls.
      *
      * @param handler follows every call; has to {@link #remove} a call that was closed
-     * @param failedToBegin told the number of an outgoing call that could not begin
+     * @param failedToBegin receives the id of an outgoing call that could not be started
      */
     StreamCalls(
             TransportSettings.Address address,
@@ -45,14 +45,14 @@
         this.framer = framer;
         this.metrics = metrics;
         this.handler = handler;
-        this.failedToBegin = failedToBegin;
+        this.startFailureHandler = failedToBegin;
     }
 
-    /** Accepts all connections that wait. */
+    /** Accepts all pending connections. */
     void accept() throws IOException {
         for (SocketChannel channel = acceptNext(); channel != null; channel = acceptNext()) {
             if (calls.size() >= MAX_CALLS) {
-                // Guards against strangers who take all connections: each has two seconds.
+                // Guards against strangers that hold all connections, each for up to two seconds.
                 channel.close();
                 continue;
             }
@@ -67,7 +67,7 @@
         try {
             return sockets.server.accept();
         } catch (IOException e) {
-            metrics.countFailure(); // Out of descriptors; the caller tries again.
+            metrics.countFailure(); // Out of file descriptors; the remote member retries.
             return null;
         }
     }
@@ -75,7 +75,7 @@
     /** Connects to another member and sends a packet. */
     void begin(long callId, Endpoint to, Packet packet) {
         if (calls.size() >= MAX_CALLS) {
-            failedToBegin.accept(callId);
+            startFailureHandler.accept(callId);
             return;
         }
         try {
@@ -83,11 +83,11 @@
             InetSocketAddress local = new InetSocketAddress(address.bind().getAddress(), 0);
             StreamCall call = newCall(SocketChannel.open(), callId, false);
             calls.add(call);
-            // Seeds may speak any version.
+            // The protocol version of a seed is not known.
             ByteBuffer frame = encode(packet, FrameAuthenticator.OLDEST_VERSION);
             call.connect(sockets.selector, local, remote, frame);
         } catch (IOException | IllegalArgumentException e) {
-            failedToBegin.accept(callId);
+            startFailureHandler.accept(callId);
         }
     }
 
@@ -102,7 +102,7 @@
                 Ticks.now() + TIMEOUT);
     }
 
-    /** Answers an incoming call, unless the caller has given up meanwhile. */
+    /** Answers an incoming call, unless it has been closed in the meantime. */
     void answer(StreamCall call, Packet packet) {
         if (call.isOpen()) {
             call.answer(encode(packet, call.version()));
@@ -115,13 +115,13 @@
         return frame;
     }
 
-    /** Forgets a call that was closed. */
+    /** Removes a call that was closed. */
     void remove(StreamCall call) {
         calls.remove(call);
     }
 
     /** Fails the calls whose deadline has passed. */
-    void endOverdue(long now) {
+    void failOverdue(long now) {
         for (StreamCall call : List.copyOf(calls)) {
             if (call.isOverdue(now)) {
                 call.fail();
--- a/src/main/java/cairnbridge/fleet/transport/TransportMetrics.java
+++ b/src/main/java/cairnbridge/fleet/transport/TransportMetrics.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.concurrent.atomic.LongAdder;
 
-/** Counts what has been sent and received. Any thread may read. */
+/** Counts bytes, failures and rejected frames. Any thread may read. */
 public final class TransportMetrics {
     private final Map<RejectionReason, LongAdder> rejections = new EnumMap<>(RejectionReason.class);
     private final LongAdder bytesSent = new LongAdder();
@@ -38,17 +38,17 @@
         rejections.get(reason).increment();
     }
 
-    /** Bytes of datagrams and streams sent, without the network's own headers. */
+    /** Bytes of datagrams and streams sent, without IP, UDP and TCP headers. */
     public long bytesSent() {
         return bytesSent.sum();
     }
 
-    /** Bytes of datagrams and streams received, without the network's own headers. */
+    /** Bytes of datagrams and streams received, without IP, UDP and TCP headers. */
     public long bytesReceived() {
         return bytesReceived.sum();
     }
 
-    /** Datagrams that were not sent because of the limit of bytes a second. */
+    /** Datagrams that were not sent because of the limit of bytes per second. */
     public long overBudget() {
         return datagramsOverLimit.sum();
     }
@@ -58,7 +58,7 @@
         return failures.sum();
     }
 
-    /** Frames that were rejected for a reason. */
+    /** Frames that were rejected for the given reason. */
     public long rejections(RejectionReason reason) {
         return rejections.get(reason).sum();
     }
--- a/src/main/java/cairnbridge/fleet/transport/TransportSettings.java
+++ b/src/main/java/cairnbridge/fleet/transport/TransportSettings.java
@@ -11,12 +11,12 @@
 /**
  * The settings of a member's transport.
  *
- * @param identity who this member is
+ * @param identity the id and generation of this member
  * @param cluster the name of the cluster and its secret
- * @param address where it listens and is reached
- * @param contacts whom it calls to join
+ * @param address the addresses at which it listens and is reached
+ * @param contacts the endpoints that it contacts to join the fleet
  * @param protocolVersion the newest protocol version to speak and to accept
- * @param maxBytesPerSecond the limit of datagrams
+ * @param maxBytesPerSecond the limit of datagram bytes sent per second
  */
 public record TransportSettings(
         Identity identity,
@@ -29,11 +29,11 @@
     public static final int NEWEST_PROTOCOL_VERSION = FrameAuthenticator.NEWEST_VERSION;
 
     /**
-     * Who a member is.
+     * The identity of one run of a member.
      *
      * @param id its name
      * @param generation the number of this run of the process, higher than that of any earlier run;
-     *     as a rule the time of the start in milliseconds
+     *     usually the start time in milliseconds
      */
     public record Identity(MemberId id, long generation) {}
 
@@ -47,24 +47,25 @@
     public record Cluster(String name, byte[] secret) {}
 
     /**
-     * Addresses.
+     * The addresses of a member and its routes to others.
      *
-     * @param bind where to listen, over UDP and TCP; port 0 takes any free one
-     * @param advertised where others reach this member; empty for where it listens
-     * @param routes where other members are reached from here, by the endpoint that they advertise
+     * @param bind the address to listen at, over UDP and TCP; port 0 selects any free port
+     * @param advertised the endpoint at which others reach this member; empty for the bound one
+     * @param routes the endpoints at which this member reaches others, by the endpoint that they
+     *     advertise
      */
     public record Address(
             InetSocketAddress bind, Optional<Endpoint> advertised, Map<Endpoint, Endpoint> routes) {
-        /** Where to send for an advertised endpoint. */
+        /** The endpoint to send to for an advertised one. */
         Endpoint routeTo(Endpoint advertisedEndpoint) {
             return routes.getOrDefault(advertisedEndpoint, advertisedEndpoint);
         }
     }
 
     /**
-     * The same settings with what was persisted over a power loss.
+     * A copy of these settings with the state that was persisted before a power loss.
      *
-     * @param generation the number of this run
+     * @param generation the generation of this run
      * @param remembered endpoints of members known before the loss
      */
     public TransportSettings withPersisted(long generation, List<Endpoint> remembered) {
--- a/src/main/java/cairnbridge/fleet/transport/TransportSockets.java
+++ b/src/main/java/cairnbridge/fleet/transport/TransportSockets.java
@@ -10,7 +10,7 @@
 
 /** The selector of a transport, and its UDP and TCP sockets on one port. */
 final class TransportSockets implements AutoCloseable {
-    /** With port 0 another port is tried if the TCP port of the same number is taken. */
+    /** The most ports tried with port 0, where the TCP port of the same number may be taken. */
     private static final int BIND_ATTEMPTS = 16;
 
     private static final int RECEIVE_BUFFER_BYTES = 1 << 20;
@@ -75,7 +75,7 @@
         try (selector;
                 datagrams;
                 server) {
-            // Closed in any case, whatever closing one of them throws.
+            // Closes all three, even if closing one of them throws.
         }
     }
 }
