--- a/src/test/java/cairnbridge/fleet/FleetFixtures.java
+++ b/src/test/java/cairnbridge/fleet/FleetFixtures.java
@@ -11,7 +11,9 @@
 import cairnbridge.fleet.member.ZoneOutcome;
 import java.util.List;
 
-/** The members and their metadata that the fixtures of gossip and of admin answers hold. */
+/**
+ * The members and metadata from which the fixtures of gossip frames and admin answers were encoded.
+ */
 public final class FleetFixtures {
     private FleetFixtures() {}
 
@@ -38,8 +40,8 @@
                 .build();
     }
 
-    /** Metadata of a member that has nothing to tell but its zone. */
-    public static MemberMetadata plainMetadata() {
+    /** Metadata with a zone and the default of every other field but the version. */
+    public static MemberMetadata minimalMetadata() {
         return MemberMetadata.builder()
                 .location("zone-b", "")
                 .protocolVersion(1)
@@ -53,12 +55,12 @@
 
     /** One member of each status. */
     public static List<MemberState> members() {
-        Endpoint at = new Endpoint("10.20.30.40", 7946);
-        MemberId by = new MemberId("proxy-b");
+        Endpoint endpoint = new Endpoint("10.20.30.40", 7946);
+        MemberId reporter = new MemberId("proxy-b");
         return List.of(
                 new MemberState(
                         new MemberId("m0"),
-                        at,
+                        endpoint,
                         new Incarnation(1_700_000_000_001L, 0),
                         MemberStatus.ALIVE,
                         null,
@@ -69,24 +71,24 @@
                         new Endpoint("fd00::7", 1),
                         new Incarnation(Long.MAX_VALUE, 7),
                         MemberStatus.SUSPECT,
-                        by,
+                        reporter,
                         0,
                         null),
                 new MemberState(
                         new MemberId("m2"),
-                        at,
+                        endpoint,
                         new Incarnation(1, 1),
                         MemberStatus.DEAD,
-                        by,
+                        reporter,
                         0,
                         null),
                 new MemberState(
                         new MemberId("m3"),
-                        at,
+                        endpoint,
                         new Incarnation(2, 2),
                         MemberStatus.LEFT,
                         null,
                         9,
-                        plainMetadata()));
+                        minimalMetadata()));
     }
 }
--- a/src/test/java/cairnbridge/fleet/FleetStatusFormatTest.java
+++ b/src/test/java/cairnbridge/fleet/FleetStatusFormatTest.java
@@ -8,7 +8,10 @@
 import cairnbridge.fleet.membership.MembershipView;
 import org.junit.jupiter.api.Test;
 
-/** The answers of the admin calls on members keep the form of an earlier version. */
+/**
+ * Guards against changes to the format of the admin answers on members: compares each with a
+ * fixture that an earlier version wrote.
+ */
 class FleetStatusFormatTest {
     private static MembershipView view() {
         return new MembershipView(
@@ -24,18 +27,18 @@
     }
 
     @Test
-    void membersIsTheSameTable() throws Exception {
+    void membersTableMatchesFixture() throws Exception {
         assertEquals(
                 Fixtures.text("members/members.txt"), FleetStatusFormatter.membersTable(view()));
     }
 
     @Test
-    void membersJsonIsTheSameObject() throws Exception {
+    void membersJsonMatchesFixture() throws Exception {
         assertEquals(Fixtures.text("members/members.json"), FleetStatusFormatter.toJson(view()));
     }
 
     @Test
-    void oneMemberIsTheSameObject() throws Exception {
+    void memberJsonMatchesFixture() throws Exception {
         assertEquals(
                 Fixtures.text("members/member.json"),
                 FleetStatusFormatter.toJson(FleetFixtures.members().get(0)));
--- a/src/test/java/cairnbridge/fleet/transport/GossipFormatTest.java
+++ b/src/test/java/cairnbridge/fleet/transport/GossipFormatTest.java
@@ -19,24 +19,27 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Messages between members keep the form in which an earlier version has sent them. */
+/**
+ * Guards against changes to the wire format between members: compares frames and metadata with
+ * fixtures that an earlier version encoded.
+ */
 class GossipFormatTest {
-    private static final long LIFE = 1_700_000_000_003L;
+    private static final long GENERATION = 1_700_000_000_003L;
     private static final long DIGEST = -99;
-    private static final int FIRST_NUMBER = 100;
-    private static final int LARGEST = 100_000;
-    private final FrameAuthenticator seal =
+    private static final int FIRST_SEQUENCE = 100;
+    private static final int MAX_PACKET_BYTES = 100_000;
+    private final FrameAuthenticator authenticator =
             new FrameAuthenticator(
                     "fixture-cluster", "sixteen bytes or more".getBytes(StandardCharsets.UTF_8), 2);
 
     private static Map<String, Message> messages() {
         MemberId target = new MemberId("proxy-b");
-        Endpoint at = new Endpoint("10.20.30.41", 7947);
+        Endpoint endpoint = new Endpoint("10.20.30.41", 7947);
         List<MemberState> members = FleetFixtures.members();
         Map<String, Message> messages = new LinkedHashMap<>();
         messages.put("ping", new Message.Ping(Long.MAX_VALUE, target, members));
         messages.put("ack", new Message.Ack(1, members));
-        messages.put("indirect-ping", new Message.PingRequest(2, target, at, members));
+        messages.put("indirect-ping", new Message.PingRequest(2, target, endpoint, members));
         messages.put("nack", new Message.Nack(3, members));
         messages.put("gossip", new Message.Gossip(members));
         messages.put("digest", new Message.Digest(List.of(Long.MIN_VALUE, 0L, 3L)));
@@ -49,71 +52,74 @@
         return new Packet(
                 new MemberId("proxy-a"),
                 new Endpoint("10.20.30.41", 7947),
-                new Incarnation(LIFE, 4),
+                new Incarnation(GENERATION, 4),
                 digest,
                 message);
     }
 
     @Test
-    void framesAreTheSameBytes() throws Exception {
-        int number = FIRST_NUMBER;
-        for (Map.Entry<String, Message> each : messages().entrySet()) {
+    void encodedFramesMatchFixtures() throws Exception {
+        int sequence = FIRST_SEQUENCE;
+        for (Map.Entry<String, Message> entry : messages().entrySet()) {
             for (int version = 1; version <= 2; version++) {
-                byte[] written =
-                        PacketCodec.encode(packet(each.getValue(), DIGEST), version, LARGEST);
+                byte[] encoded =
+                        PacketCodec.encode(
+                                packet(entry.getValue(), DIGEST), version, MAX_PACKET_BYTES);
                 ByteBuffer frame =
-                        seal.encode(
+                        authenticator.encode(
                                 new FrameAuthenticator.AuthenticatedFrame(
-                                        version, LIFE, number++, written));
+                                        version, GENERATION, sequence++, encoded));
                 byte[] bytes = new byte[frame.remaining()];
                 frame.get(bytes);
-                String name = each.getKey() + "-v" + version;
+                String name = entry.getKey() + "-v" + version;
                 assertArrayEquals(Fixtures.bytes("gossip/" + name + ".frame"), bytes, name);
             }
         }
     }
 
     @Test
-    void framesOfAnEarlierVersionAreRead() throws Exception {
-        int number = FIRST_NUMBER;
-        for (Map.Entry<String, Message> each : messages().entrySet()) {
+    void fixtureFramesAreDecoded() throws Exception {
+        int sequence = FIRST_SEQUENCE;
+        for (Map.Entry<String, Message> entry : messages().entrySet()) {
             for (int version = 1; version <= 2; version++) {
-                String name = each.getKey() + "-v" + version;
+                String name = entry.getKey() + "-v" + version;
                 ByteBuffer frame = ByteBuffer.wrap(Fixtures.bytes("gossip/" + name + ".frame"));
-                FrameAuthenticator.AuthenticatedFrame opened = seal.decode(frame, LARGEST);
-                assertEquals(version, opened.version(), name);
-                assertEquals(LIFE, opened.generation(), name);
-                assertEquals(number++, opened.sequence(), name);
-                Packet read = PacketCodec.decode(opened.packet(), version);
+                FrameAuthenticator.AuthenticatedFrame decodedFrame =
+                        authenticator.decode(frame, MAX_PACKET_BYTES);
+                assertEquals(version, decodedFrame.version(), name);
+                assertEquals(GENERATION, decodedFrame.generation(), name);
+                assertEquals(sequence++, decodedFrame.sequence(), name);
+                Packet packet = PacketCodec.decode(decodedFrame.packet(), version);
                 long digest = version == 1 ? 0 : DIGEST;
-                if (each.getValue() instanceof Message.ApplicationMessage expected) {
-                    Message.ApplicationMessage word = (Message.ApplicationMessage) read.message();
-                    assertEquals(expected.topic(), word.topic());
-                    assertArrayEquals(expected.payload(), word.payload());
+                if (entry.getValue() instanceof Message.ApplicationMessage expected) {
+                    Message.ApplicationMessage actual =
+                            (Message.ApplicationMessage) packet.message();
+                    assertEquals(expected.topic(), actual.topic());
+                    assertArrayEquals(expected.payload(), actual.payload());
                 } else {
-                    assertEquals(packet(each.getValue(), digest), read, name);
+                    assertEquals(packet(entry.getValue(), digest), packet, name);
                 }
             }
         }
     }
 
     @Test
-    void metadataKeepsItsForm() throws Exception {
+    void metadataMatchesFixtures() throws Exception {
         byte[] full = Fixtures.bytes("gossip/metadata-full.cbor");
-        byte[] plain = Fixtures.bytes("gossip/metadata-plain.cbor");
+        byte[] minimal = Fixtures.bytes("gossip/metadata-plain.cbor");
         assertArrayEquals(full, FleetFixtures.fullMetadata().encoded());
-        assertArrayEquals(plain, FleetFixtures.plainMetadata().encoded());
+        assertArrayEquals(minimal, FleetFixtures.minimalMetadata().encoded());
 
-        MemberMetadata read = MemberMetadata.ofEncoded(full);
+        MemberMetadata decoded = MemberMetadata.ofEncoded(full);
         MemberMetadata expected = FleetFixtures.fullMetadata();
-        assertEquals("zone-a", read.zone());
-        assertEquals("region-1", read.region());
-        assertEquals(2, read.protocolVersion());
-        assertEquals(MemberMetadata.Lifecycle.DRAINING, read.lifecycle());
-        assertEquals("10.0.0.1:80", read.clientAddress());
-        assertEquals("10.0.0.1:9901", read.adminAddress());
-        assertEquals(12, read.planEpoch());
-        assertEquals(expected.recovery(), read.recovery());
-        assertEquals(expected.metrics(), read.metrics());
+        assertEquals("zone-a", decoded.zone());
+        assertEquals("region-1", decoded.region());
+        assertEquals(2, decoded.protocolVersion());
+        assertEquals(MemberMetadata.Lifecycle.DRAINING, decoded.lifecycle());
+        assertEquals("10.0.0.1:80", decoded.clientAddress());
+        assertEquals("10.0.0.1:9901", decoded.adminAddress());
+        assertEquals(12, decoded.planEpoch());
+        assertEquals(expected.recovery(), decoded.recovery());
+        assertEquals(expected.metrics(), decoded.metrics());
     }
 }
--- a/src/test/java/cairnbridge/fleet/transport/GossipTransportTest.java
+++ b/src/test/java/cairnbridge/fleet/transport/GossipTransportTest.java
@@ -30,14 +30,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Two or three carriers on loopback sockets, and strangers. */
+/** Runs two or three transports on loopback sockets, and senders from outside the cluster. */
 @Timeout(30)
 class GossipTransportTest implements GossipTransport.Listener {
     private static final byte[] SECRET = "sixteen bytes or more".getBytes(StandardCharsets.UTF_8);
-    private final List<GossipTransport> carriers = new ArrayList<>();
+    private final List<GossipTransport> transports = new ArrayList<>();
 
-    private GossipTransport carrier(String name, String cluster, int protocol, Endpoint... seeds)
-            throws IOException {
+    private GossipTransport startTransport(
+            String name, String cluster, int protocol, Endpoint... seeds) throws IOException {
         TransportSettings settings =
                 new TransportSettings(
                         new TransportSettings.Identity(
@@ -50,55 +50,58 @@
                         SwimProtocol.Contacts.seeds(List.of(seeds)),
                         protocol,
                         100_000);
-        MemberMetadata told =
+        MemberMetadata metadata =
                 MemberMetadata.builder().location("a", "r").protocolVersion(protocol).build();
-        GossipTransport carrier =
-                new GossipTransport(settings, SwimSettings.DEFAULT, told, name.hashCode(), this);
-        carriers.add(carrier);
-        Thread thread = new Thread(carrier, name);
+        GossipTransport transport =
+                new GossipTransport(
+                        settings, SwimSettings.DEFAULT, metadata, name.hashCode(), this);
+        transports.add(transport);
+        Thread thread = new Thread(transport, name);
         thread.setDaemon(true);
         thread.start();
-        return carrier;
+        return transport;
     }
 
     @AfterEach
     void stop() {
-        carriers.forEach(GossipTransport::stop);
+        transports.forEach(GossipTransport::stop);
     }
 
     @Override
-    public void memberChanged(MemberState before, MemberState after, StatusChangeReason why) {
-        // The view is looked at instead.
+    public void memberChanged(MemberState before, MemberState after, StatusChangeReason reason) {
+        // The tests check the view instead.
     }
 
     @Override
-    public void messageReceived(MemberId from, String topic, byte[] bytes, Consumer<byte[]> then) {
-        then.accept(
-                (topic + " of " + from + " in " + bytes.length).getBytes(StandardCharsets.UTF_8));
+    public void messageReceived(
+            MemberId sender, String topic, byte[] payload, Consumer<byte[]> answer) {
+        answer.accept(
+                (topic + " of " + sender + " in " + payload.length)
+                        .getBytes(StandardCharsets.UTF_8));
     }
 
     @Override
     public void viewPublished(MembershipView view) {
-        // As above.
+        // The tests poll the view instead.
     }
 
     @Override
-    public void log(String line) {
-        // Nobody reads it here.
+    public void log(String message) {
+        // The tests do not check log messages.
     }
 
-    private static void until(java.util.function.BooleanSupplier holds)
+    private static void waitUntil(java.util.function.BooleanSupplier condition)
             throws InterruptedException {
-        while (!holds.getAsBoolean()) {
+        while (!condition.getAsBoolean()) {
             Thread.sleep(5);
         }
     }
 
     @Test
-    void membersMeetTellAndTakeLeaveThoughTheySpeakDifferentForms() throws Exception {
-        GossipTransport first = carrier("a", "c", 1);
-        GossipTransport second = carrier("b", "c", 2, first.endpoint());
-        until(
+    void membersOfDifferentVersionsJoinExchangeMetadataAndLeave() throws Exception {
+        GossipTransport first = startTransport("a", "c", 1);
+        GossipTransport second = startTransport("b", "c", 2, first.endpoint());
+        waitUntil(
                 () ->
                         first.view().statistics().members().alive() == 2
                                 && second.view().statistics().members().alive() == 2);
@@ -108,49 +111,52 @@
                         .protocolVersion(2)
                         .lifecycle(MemberMetadata.Lifecycle.DRAINING)
                         .build());
-        until(
+        waitUntil(
                 () ->
                         first.view()
                                 .stateOf(new MemberId("b"))
                                 .map(MemberState::metadata)
                                 .filter(
-                                        told ->
-                                                told.lifecycle()
+                                        metadata ->
+                                                metadata.lifecycle()
                                                         == MemberMetadata.Lifecycle.DRAINING)
                                 .isPresent());
         assertEquals(
                 0,
                 first.metrics().rejections(RejectionReason.UNKNOWN_VERSION),
-                "the second speaks as the first does");
+                "the second member sends the version that the first supports");
         second.leave();
-        until(() -> first.view().count(MemberStatus.LEFT) == 1);
+        waitUntil(() -> first.view().count(MemberStatus.LEFT) == 1);
         assertEquals(0, first.view().statistics().counters().deaths());
     }
 
-    /** Guards against strangers: nothing that they send kills a member, or makes one. */
+    /**
+     * Guards against senders from outside the cluster: frames they send must not add a member or
+     * declare one dead.
+     */
     @Test
-    void whatStrangersSendIsCountedAndChangesNothing() throws Exception {
-        GossipTransport first = carrier("a", "c", 2);
-        GossipTransport second = carrier("b", "c", 2, first.endpoint());
-        until(
+    void foreignFramesAreCountedAndChangeNoView() throws Exception {
+        GossipTransport first = startTransport("a", "c", 2);
+        GossipTransport second = startTransport("b", "c", 2, first.endpoint());
+        waitUntil(
                 () ->
                         first.view().statistics().members().alive() == 2
                                 && second.view().statistics().members().alive() == 2);
-        GossipTransport other = carrier("x", "another", 2, first.endpoint());
+        GossipTransport foreign = startTransport("x", "another", 2, first.endpoint());
         try (DatagramSocket socket = new DatagramSocket();
                 Socket stream = new Socket()) {
-            InetSocketAddress at = first.endpoint().toSocketAddress();
+            InetSocketAddress address = first.endpoint().toSocketAddress();
             for (int i = 0; i < 50; i++) {
                 byte[] bytes =
                         "hello hello hello hello hello hello hello hello"
                                 .getBytes(StandardCharsets.UTF_8);
-                socket.send(new DatagramPacket(bytes, bytes.length, at));
-                byte[] head = {(byte) 0xCB, 0x1D, 2, 0};
-                socket.send(new DatagramPacket(head, head.length, at));
+                socket.send(new DatagramPacket(bytes, bytes.length, address));
+                byte[] header = {(byte) 0xCB, 0x1D, 2, 0};
+                socket.send(new DatagramPacket(header, header.length, address));
             }
-            stream.connect(at);
+            stream.connect(address);
             stream.getOutputStream().write(new byte[100]);
-            until(
+            waitUntil(
                     () ->
                             first.metrics().rejections(RejectionReason.FOREIGN) >= 50
                                     && first.metrics().rejections(RejectionReason.CUT_SHORT) >= 50
@@ -158,21 +164,21 @@
                                             >= 1);
         }
         assertEquals(2, first.view().members().size());
-        assertEquals(1, other.view().members().size());
+        assertEquals(1, foreign.view().members().size());
         assertEquals(MemberStatus.ALIVE, second.view().stateOf(new MemberId("a")).get().status());
     }
 
     /**
-     * Other parts talk over the same streams; one that is gone answers nobody, and that is said
-     * too.
+     * Application messages use the same streams as the protocol. Guards against a caller that is
+     * never notified when the called member has stopped: its callback receives an empty answer.
      */
     @Test
-    void aWordGetsItsAnswerAndOneThatIsLostGetsNone() throws Exception {
-        GossipTransport first = carrier("a", "c", 2);
-        GossipTransport second = carrier("b", "c", 2, first.endpoint());
-        until(() -> second.view().statistics().members().alive() == 2);
+    void applicationCallGetsAnAnswerOrNoneFromAStoppedMember() throws Exception {
+        GossipTransport first = startTransport("a", "c", 2);
+        GossipTransport second = startTransport("b", "c", 2, first.endpoint());
+        waitUntil(() -> second.view().statistics().members().alive() == 2);
         CompletableFuture<String> answer = new CompletableFuture<>();
-        CompletableFuture<Boolean> silence = new CompletableFuture<>();
+        CompletableFuture<Boolean> noAnswer = new CompletableFuture<>();
         second.execute(
                 () ->
                         second.call(
@@ -186,7 +192,7 @@
                                                         StandardCharsets.UTF_8))));
         assertEquals("plans of b in 40000", answer.get());
         first.stop();
-        until(
+        waitUntil(
                 () -> {
                     second.execute(
                             () ->
@@ -194,16 +200,16 @@
                                             first.endpoint(),
                                             "plans",
                                             new byte[1],
-                                            bytes -> silence.complete(bytes.isEmpty())));
-                    return silence.isDone();
+                                            bytes -> noAnswer.complete(bytes.isEmpty())));
+                    return noAnswer.isDone();
                 });
-        assertTrue(silence.get());
+        assertTrue(noAnswer.get());
     }
 
     @Test
-    void anAddressThatIsTakenIsSaidInOneLine() throws Exception {
-        GossipTransport first = carrier("a", "c", 2);
-        TransportSettings same =
+    void addressInUseIsReportedInOneLine() throws Exception {
+        GossipTransport first = startTransport("a", "c", 2);
+        TransportSettings sameAddress =
                 new TransportSettings(
                         new TransportSettings.Identity(new MemberId("b"), 1),
                         new TransportSettings.Cluster("c", SECRET),
@@ -212,14 +218,16 @@
                         SwimProtocol.Contacts.seeds(List.of()),
                         2,
                         100_000);
-        MemberMetadata told =
+        MemberMetadata metadata =
                 MemberMetadata.builder().location("a", "r").protocolVersion(2).build();
-        IOException fault =
+        IOException failure =
                 assertThrows(
                         IOException.class,
-                        () -> new GossipTransport(same, SwimSettings.DEFAULT, told, 1, this));
+                        () ->
+                                new GossipTransport(
+                                        sameAddress, SwimSettings.DEFAULT, metadata, 1, this));
         assertTrue(
-                fault.getMessage().startsWith("cannot listen on ")
-                        && !fault.getMessage().contains("\n"));
+                failure.getMessage().startsWith("cannot listen on ")
+                        && !failure.getMessage().contains("\n"));
     }
 }
