--- a/src/main/java/cairnbridge/fleet/LocalProxy.java
+++ b/src/main/java/cairnbridge/fleet/LocalProxy.java
@@ -34,7 +34,7 @@
     /** The limits of the whole fleet are now divided among this number of proxies. */
     void proxyCountChanged(int proxies);
 
-    /** Most members of this one's zone cannot reach the node. */
+    /** Most members of this member's zone cannot reach the node. */
     void nodeSuspected(long node);
 
     /** Checks the health of a node; the check is due and assigned to this member. */
--- a/src/main/java/cairnbridge/fleet/member/Incarnation.java
+++ b/src/main/java/cairnbridge/fleet/member/Incarnation.java
@@ -20,7 +20,10 @@
         return new Incarnation(generation, refutation + 1);
     }
 
-    /** The lowest incarnation, not below this one, that replaces a statement about another one. */
+    /**
+     * The lowest incarnation, not below this one, that replaces a statement about the given
+     * incarnation.
+     */
     public Incarnation superseding(Incarnation stated) {
         if (stated.generation > generation) {
             // The system clock was set back between two runs of the process.
--- a/src/main/java/cairnbridge/fleet/member/MemberMetadata.java
+++ b/src/main/java/cairnbridge/fleet/member/MemberMetadata.java
@@ -58,7 +58,7 @@
         return new MemberMetadata(encoded.clone());
     }
 
-    /** Starts metadata to be announced, with a default for each field. */
+    /** A builder of metadata to be announced, with a default for each field. */
     public static Builder builder() {
         return new Builder();
     }
@@ -108,7 +108,7 @@
         return fields().protocolVersion();
     }
 
-    /** What the member does at present. */
+    /** The member's operating state. */
     public Lifecycle lifecycle() {
         return fields().lifecycle();
     }
@@ -181,7 +181,7 @@
             return this;
         }
 
-        /** What the member does at present. */
+        /** The member's operating state. */
         public Builder lifecycle(Lifecycle newLifecycle) {
             lifecycle = Objects.requireNonNull(newLifecycle);
             return this;
--- a/src/main/java/cairnbridge/fleet/transport/GossipTransport.java
+++ b/src/main/java/cairnbridge/fleet/transport/GossipTransport.java
@@ -26,15 +26,11 @@
 import java.util.logging.Logger;
 
 /**
- * Runs a member's {@link SwimProtocol} over UDP and TCP, on one thread with its own selector. Start
- * a thread with this runnable; any thread may then read the view, change the metadata and submit
- * tasks.
+ * Runs a member's {@link SwimProtocol} over UDP and TCP, on one thread with its own selector. While
+ * it runs, any thread may read the view, change the metadata and submit tasks.
  */
 public final class GossipTransport implements Runnable {
-    /**
-     * Receives membership changes and application messages. Called on the transport's thread;
-     * implementations must not block.
-     */
+    /** Receives membership events. Called on the transport's thread; must not block. */
     public interface Listener {
         /** See {@link MembershipHost#memberChanged}. */
         void memberChanged(
@@ -43,8 +39,7 @@
         /**
          * A member has sent an application message.
          *
-         * @param answer the callback for the answer, an empty array for none; to be called on the
-         *     transport's thread, at once or later
+         * @param answer receives the answer, empty for none; call it on this thread, now or later
          */
         void messageReceived(
                 MemberId sender, String topic, byte[] payload, Consumer<byte[]> answer);
@@ -67,9 +62,7 @@
     /** Leaving is announced for this many gossip intervals. */
     private static final int LEAVE_INTERVALS = 3;
 
-    /**
-     * Ids of application calls start here, so that they differ from the protocol's own call ids.
-     */
+    /** Ids of application calls start here, to differ from the protocol's own call ids. */
     private static final long FIRST_APPLICATION_CALL = 1L << 61;
 
     private final TransportSettings settings;
@@ -197,10 +190,7 @@
         sockets.selector.wakeup();
     }
 
-    /**
-     * Announces for a few gossip intervals, some tenths of a second, that this member leaves, and
-     * stops.
-     */
+    /** Announces for some tenths of a second that this member leaves, and stops. */
     public void leave() throws InterruptedException {
         events.add(new MembershipEvent.LeaveRequested());
         sockets.selector.wakeup();
@@ -217,10 +207,7 @@
 
     // Methods for the transport's thread.
 
-    /**
-     * Calls a member with an application message; the callback receives the answer, empty if none
-     * arrives.
-     */
+    /** Sends an application message; the callback receives the answer, empty if none arrives. */
     public void call(
             Endpoint to, String topic, byte[] payload, Consumer<Optional<byte[]>> callback) {
         lastApplicationCall++;
--- a/src/main/java/cairnbridge/fleet/transport/PacketCodec.java
+++ b/src/main/java/cairnbridge/fleet/transport/PacketCodec.java
@@ -54,7 +54,8 @@
     // Encoding.
 
     /**
-     * Encodes a packet; updates at the end of the list that do not fit into the bytes are left out.
+     * Encodes a packet; updates are left out from the end of the list until the packet fits into
+     * {@code maxBytes}.
      */
     static byte[] encode(Packet packet, int version, int maxBytes) {
         List<MemberState> updates = packet.message().updates();
--- a/src/main/java/cairnbridge/fleet/transport/RejectedFrameException.java
+++ b/src/main/java/cairnbridge/fleet/transport/RejectedFrameException.java
@@ -2,7 +2,7 @@
 
 /**
  * Thrown for a frame that is rejected. It has no stack trace, as unauthenticated senders can cause
- * many.
+ * many rejections.
  */
 final class RejectedFrameException extends Exception {
     private static final long serialVersionUID = 1L;
--- a/src/main/java/cairnbridge/fleet/transport/StreamCalls.java
+++ b/src/main/java/cairnbridge/fleet/transport/StreamCalls.java
@@ -31,7 +31,7 @@
      * Creates an empty set of calls.
      *
      * @param handler follows every call; has to {@link #remove} a call that was closed
-     * @param failedToBegin receives the id of an outgoing call that could not be started
+     * @param startFailureHandler receives the id of an outgoing call that could not be started
      */
     StreamCalls(
             TransportSettings.Address address,
@@ -39,13 +39,13 @@
             PacketFramer framer,
             TransportMetrics metrics,
             StreamCall.Handler handler,
-            LongConsumer failedToBegin) {
+            LongConsumer startFailureHandler) {
         this.address = address;
         this.sockets = sockets;
         this.framer = framer;
         this.metrics = metrics;
         this.handler = handler;
-        this.startFailureHandler = failedToBegin;
+        this.startFailureHandler = startFailureHandler;
     }
 
     /** Accepts all pending connections. */
@@ -67,7 +67,8 @@
         try {
             return sockets.server.accept();
         } catch (IOException e) {
-            metrics.countFailure(); // Out of file descriptors; the remote member retries.
+            metrics.countFailure(); // Out of file descriptors; retried when the server socket is
+            // selected again.
             return null;
         }
     }
