--- a/src/main/java/cairnbridge/fleet/LocalProxy.java
+++ b/src/main/java/cairnbridge/fleet/LocalProxy.java
@@ -22,7 +22,7 @@
         return metrics().reachability();
     }
 
-    /** How far the proxy has recovered from a power loss. */
+    /** The proxy's progress in its recovery from a power loss. */
     RecoveryProgress recoveryProgress();
 
     /**
--- a/src/main/java/cairnbridge/fleet/member/Endpoint.java
+++ b/src/main/java/cairnbridge/fleet/member/Endpoint.java
@@ -45,7 +45,7 @@
     }
 
     /**
-     * The address for a socket.
+     * Converts this endpoint to a socket address.
      *
      * @throws IllegalArgumentException if the host has the form of an IP address but is not one
      */
--- a/src/main/java/cairnbridge/fleet/transport/StreamCalls.java
+++ b/src/main/java/cairnbridge/fleet/transport/StreamCalls.java
@@ -30,7 +30,7 @@
     /**
      * Creates an empty set of calls.
      *
-     * @param handler follows every call; has to {@link #remove} a call that was closed
+     * @param handler handles the events of every call; must {@link #remove} a closed call
      * @param startFailureHandler receives the id of an outgoing call that could not be started
      */
     StreamCalls(
@@ -52,7 +52,8 @@
     void accept() throws IOException {
         for (SocketChannel channel = acceptNext(); channel != null; channel = acceptNext()) {
             if (calls.size() >= MAX_CALLS) {
-                // Guards against strangers that hold all connections, each for up to two seconds.
+                // Guards against unauthenticated clients that hold any number of connections:
+                // each call times out only after two seconds.
                 channel.close();
                 continue;
             }
@@ -62,7 +63,7 @@
         }
     }
 
-    /** Null if there is no connection to accept. */
+    /** Accepts the next pending connection; null if there is none or accepting fails. */
     private SocketChannel acceptNext() {
         try {
             return sockets.server.accept();
