--- a/src/test/java/cairnbridge/proxy/ClassDataArchiveTest.java
+++ b/src/test/java/cairnbridge/proxy/ClassDataArchiveTest.java
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void anArchiveAsOldAsTheJarOrYoungerIsInUse() throws IOException {
+    void anArchiveNoOlderThanTheJarIsInUse() throws IOException {
         File jar = file("p.jar", JAR_MILLIS + 900);
         File sameSecond = file("same.jsa", JAR_MILLIS);
         File younger = file("younger.jsa", JAR_MILLIS + 2000);
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void anArchiveThatIsOldOrMissingOrRejectedIsNot() throws IOException {
+    void anOutdatedMissingOrRejectedArchiveIsNotInUse() throws IOException {
         File jar = file("p.jar", JAR_MILLIS);
         File older = file("older.jsa", JAR_MILLIS - 1000);
         File younger = file("younger.jsa", JAR_MILLIS + 2000);
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void theLastArchiveThatTheOptionsNameCounts() {
+    void theLastArchiveNamedInTheOptionsIsUsed() {
         assertEquals(Optional.empty(), ClassDataArchive.namedArchive(List.of("-Xmx32m")));
         assertEquals(
                 Optional.of(new File("b.jsa")),
@@ -72,21 +72,21 @@
     }
 
     @Test
-    void serveSaysWhichArchiveIsMissingAndNothingWhereNoneWasAskedFor() throws Exception {
+    void serveLogsAMissingArchiveAndNothingWhenNoneIsRequested() throws Exception {
         String missing = folder.resolve("missing.jsa").toString();
 
         assertTrue(
-                serve("-XX:SharedArchiveFile=" + missing)
+                runServe("-XX:SharedArchiveFile=" + missing)
                         .contains(
                                 " INFO class data sharing archive "
                                         + missing
                                         + " is not in use, the start is slower: there is no such"
                                         + " file\n"));
-        assertFalse(serve("-Xmx32m").contains("class data"));
+        assertFalse(runServe("-Xmx32m").contains("class data"));
     }
 
     /** The log of a start that ends at once, as no configuration is set. */
-    private static String serve(String option) throws IOException, InterruptedException {
+    private static String runServe(String option) throws IOException, InterruptedException {
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.addAll(List.of(option, "-Xlog:cds=off", "-Xlog:cds+dynamic=off", "-cp"));
--- a/src/test/java/cairnbridge/proxy/CrossingsTest.java
+++ b/src/test/java/cairnbridge/proxy/CloseRaceTest.java
@@ -21,13 +21,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Ends that cross something which is still owed, each forced by a latch or by held-back bytes. */
-class CrossingsTest extends ProxyTestSupport {
+class CloseRaceTest extends ProxyTestSupport {
     /** A node whose connections do not come up until it takes what fills its queue. */
-    private final class Late implements AutoCloseable {
+    private final class FullBacklogNode implements AutoCloseable {
         final ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         final List<Socket> fillers = new ArrayList<>();
 
-        Late() throws IOException {
+        FullBacklogNode() throws IOException {
             opened.add(this);
             // Linux takes one more than the backlog says; further ones hang in their dial.
             for (int i = 0; i < 2; i++) {
@@ -40,7 +40,7 @@
         }
 
         /** The first byte that comes on what has waited, or under 0 where it ends without one. */
-        int firstByte() throws IOException {
+        int acceptAndReadFirstByte() throws IOException {
             for (int i = 0; i < fillers.size(); i++) {
                 server.accept();
             }
@@ -66,9 +66,9 @@
      * Starts with a cache that does not answer its dial, an op on its way there, and a list to
      * come.
      */
-    private Late waiting(Socket[] client, CountDownLatch change, String state) throws Exception {
+    private FullBacklogNode startWithPendingConnect(Socket[] client, CountDownLatch change, String state) throws Exception {
         connectSeconds = 5;
-        Late late = new Late();
+        FullBacklogNode late = new FullBacklogNode();
         cache = new StandInServer(request -> HIT);
         origin = new StandInServer(request -> "200 OK||fetched");
         String told =
@@ -117,28 +117,28 @@
      */
     @ParameterizedTest
     @ValueSource(strings = {"Terminating", "Gone"})
-    void anAttemptThatWaitsForItsConnectionIsWithdrawnWhenTheListClosesItsNode(String state)
+    void anAttemptPendingOnConnectIsCancelledWhenItsNodeDrainsOrIsRemoved(String state)
             throws Exception {
         Socket[] client = new Socket[1];
         CountDownLatch change = new CountDownLatch(1);
-        Late late = waiting(client, change, state);
+        FullBacklogNode late = startWithPendingConnect(client, change, state);
         change.countDown();
         assertEquals(200, statusCode(readMessage(client[0])), "another node takes it at once");
         assertEquals(1, cache.requests.size());
-        assertEquals(-1, late.firstByte());
+        assertEquals(-1, late.acceptAndReadFirstByte());
     }
 
     /** Guards against an attempt for nobody, begun as its connection comes up. */
     @ParameterizedTest
     @ValueSource(strings = {"close", "reset"})
-    void anAttemptThatWaitsForItsConnectionGoesWithItsClient(String end) throws Exception {
+    void anAttemptPendingOnConnectIsCancelledWhenItsClientDisconnects(String end) throws Exception {
         Socket[] client = new Socket[1];
-        Late late = waiting(client, new CountDownLatch(1), "Ready");
-        leave(client[0], end);
-        assertEquals(-1, late.firstByte());
+        FullBacklogNode late = startWithPendingConnect(client, new CountDownLatch(1), "Ready");
+        disconnect(client[0], end);
+        assertEquals(-1, late.acceptAndReadFirstByte());
     }
 
-    private static void leave(Socket client, String end) throws IOException {
+    private static void disconnect(Socket client, String end) throws IOException {
         switch (end) {
             case "half" -> client.shutdownOutput();
             case "reset" -> {
@@ -167,7 +167,7 @@
         "half, 600000",
         "reset, 600000"
     })
-    void aClientsEndIsSeenThoughBytesLieBeforeIt(String end, int junk) throws Exception {
+    void aClientsDisconnectIsDetectedBehindUnreadBytes(String end, int junk) throws Exception {
         cacheHandler = request -> SILENT;
         start();
         Socket leaving = connectClient();
@@ -179,24 +179,24 @@
                                 .repeat(junk / 22 + 1)
                                 .substring(0, junk)
                                 .getBytes(StandardCharsets.ISO_8859_1));
-        leave(leaving, end);
+        disconnect(leaving, end);
         waitUntil(() -> cache.endedConnections.get() == 1);
     }
 
     @Test
-    void aClientsEndIsSeenWhileAnAnswerPassesThrough() throws Exception {
+    void aClientsDisconnectIsDetectedWhileAResponseIsStreamed() throws Exception {
         cacheHandler = request -> "HTTP/1.1 200 OK;Content-Length: 9000000;;" + "x".repeat(100_000);
         start();
         Socket leaving = connectClient();
         send(leaving, "GET /view/1", ttlHeader(60_000), "");
         assertEquals('H', leaving.getInputStream().read());
-        leave(leaving, "close");
+        disconnect(leaving, "close");
         waitUntil(() -> cache.endedConnections.get() == 1);
     }
 
     /** Guards against a reset, for unread bytes, that takes the last answer with it. */
     @Test
-    void theLastAnswerComesWholeAndWithoutAResetThoughItsClientHasSaidMore() throws Exception {
+    void theLastResponseArrivesWholeAndWithoutAResetDespiteUnreadClientBytes() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         cacheHandler =
                 request -> {
@@ -230,7 +230,7 @@
      * process ends.
      */
     @Test
-    void whatWasTakenBeforeAPlannedEndIsAnsweredWithinItHoweverLongItsClientWouldWait()
+    void anInFlightRequestWithALongTtlIsAnsweredBeforeTheShutdownEnds()
             throws Exception {
         cacheHandler = request -> SILENT;
         start();
@@ -258,7 +258,7 @@
      */
     @ParameterizedTest
     @ValueSource(strings = {"", "TERM", "HUP", "HUP TERM HUP"})
-    void signalsDuringAPlannedEndChangeNothingOfIt(String more) throws Exception {
+    void furtherSignalsDoNotAffectAGracefulShutdown(String more) throws Exception {
         cacheHandler = request -> SILENT;
         start();
         Process process = startProcess();
@@ -281,7 +281,7 @@
     }
 
     @Test
-    void aProxyToldToEndBeforeItHasStartedEndsByItself() throws Exception {
+    void aProxyTerminatedDuringItsStartExitsByItself() throws Exception {
         start();
         Process process = startProcess();
         waitUntil(() -> discovery.requests.size() >= 2); // It calls for its list, and warms up.
@@ -298,7 +298,7 @@
                 "Transfer-Encoding: chunked;;4;part;0;",
                 "Content-Length: 9;;part"
             })
-    void anAnswerThatIsResetOnItsWayIsNoAnswer(String head) throws Exception {
+    void aResponseCutOffByAResetIsNotASuccess(String head) throws Exception {
         start();
         StandInServer cut =
                 new StandInServer(request -> HIT) {
@@ -334,7 +334,7 @@
      * end.
      */
     @Test
-    void aRequestThatCrossesAPlannedCloseIsNotSentOnAndItsConnectionEndsPlainly() throws Exception {
+    void aRequestSentDuringAGracefulCloseIsNotForwardedAndItsConnectionIsNotReset() throws Exception {
         start();
         Socket resting = connectClient();
         send(resting, "GET /view/1", ttlHeader(900), "");
--- a/src/test/java/cairnbridge/proxy/DiscoveryTest.java
+++ b/src/test/java/cairnbridge/proxy/DiscoveryTest.java
@@ -34,11 +34,11 @@
     }
 
     /** What discovery does with each call in turn; the last stays. */
-    private interface Turn {
-        void take(Socket socket, OutputStream out) throws IOException, InterruptedException;
+    private interface CallHandler {
+        void handle(Socket socket, OutputStream out) throws IOException, InterruptedException;
     }
 
-    private StandInServer discovery(Turn... turns) throws IOException {
+    private StandInServer discoveryServer(CallHandler... turns) throws IOException {
         AtomicInteger calls = new AtomicInteger();
         return new StandInServer(request -> "") {
             @Override
@@ -46,7 +46,7 @@
                 String request = readMessage(socket);
                 if (request != null) {
                     requests.add(request);
-                    turns[Math.min(calls.getAndIncrement(), turns.length - 1)].take(
+                    turns[Math.min(calls.getAndIncrement(), turns.length - 1)].handle(
                             socket, socket.getOutputStream());
                 }
                 return null;
@@ -54,7 +54,7 @@
         };
     }
 
-    private static void hang(Socket socket, OutputStream out) throws IOException {
+    private static void holdOpen(Socket socket, OutputStream out) throws IOException {
         readMessage(socket); // Until the other side ends it.
     }
 
@@ -63,7 +63,7 @@
         socket.close();
     }
 
-    private void startWith(StandInServer at) throws Exception {
+    private void startWithDiscovery(StandInServer at) throws Exception {
         cache = new StandInServer(request -> HIT);
         origin = new StandInServer(request -> "200 OK||fetched");
         discovery = at;
@@ -74,19 +74,19 @@
     }
 
     /** A list that names the cache; it is in use once a read is answered by that. */
-    private String change(int version) {
+    private String cacheAdded(int version) {
         return endpointListJson(
                 version, false, endpointJson("c", cache.address(), "cache", "Ready"));
     }
 
-    private void untilInUse() throws IOException, InterruptedException {
+    private void awaitCacheInUse() throws IOException, InterruptedException {
         waitUntil(
                 () ->
                         statusCode(sendRequest("GET /view/1", ttlHeader(300), "")) == 200
                                 && !cache.requests.isEmpty());
     }
 
-    private void tell(OutputStream out, String text) throws IOException {
+    private void respond(OutputStream out, String text) throws IOException {
         out.write((HEAD + chunk(text)).getBytes(StandardCharsets.ISO_8859_1));
     }
 
@@ -95,14 +95,14 @@
      * list.
      */
     @Test
-    void aStartingProxySendsNothingByItsOldListWhileDiscoverysIsOnItsWay() throws Exception {
+    void aStartingProxySendsNothingByItsConfiguredListBeforeDiscoveryAnswers() throws Exception {
         StandInServer gone = new StandInServer(request -> HIT);
         AtomicInteger tries = new AtomicInteger();
-        startWith(
-                discovery(
+        startWithDiscovery(
+                discoveryServer(
                         (socket, out) -> {
                             waitUntil(() -> tries.get() >= 30); // Clients come all the while.
-                            tell(
+                            respond(
                                     out,
                                     endpointListJson(
                                                     2,
@@ -115,7 +115,7 @@
                                                             "cache",
                                                             "Terminating"))
                                             + "\n");
-                            hang(socket, out);
+                            holdOpen(socket, out);
                         }));
         proxy.stop();
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -125,7 +125,7 @@
                 daemon(
                         () -> {
                             for (int code = 0; code != 200; tries.incrementAndGet()) {
-                                code = oneRead(port);
+                                code = readStatus(port);
                             }
                             return null;
                         });
@@ -143,13 +143,13 @@
 
     /** Calls fail in every way, the wait has grown, and the last hangs as discovery comes back. */
     @Test
-    void afterCallsThatFailInEveryWayAChangeIsInHandInTime() throws Exception {
+    void anUpdateArrivesInTimeAfterCallsThatFailInEveryWay() throws Exception {
         AtomicLong back = new AtomicLong();
-        Turn failing = DiscoveryTest::reset;
-        Turn down = (socket, out) -> out.write("HTTP/1.1 503 Down\r\n\r\n".getBytes());
-        Turn cut = (socket, out) -> tell(out, "{\"rev\":1,\"all\":fal");
-        startWith(
-                discovery(
+        CallHandler failing = DiscoveryTest::reset;
+        CallHandler down = (socket, out) -> out.write("HTTP/1.1 503 Down\r\n\r\n".getBytes());
+        CallHandler cut = (socket, out) -> respond(out, "{\"rev\":1,\"all\":fal");
+        startWithDiscovery(
+                discoveryServer(
                         failing,
                         down,
                         failing,
@@ -160,14 +160,14 @@
                         (socket, out) -> {
                             back.set(System.nanoTime()); // From here on discovery would answer;
                             // this call hangs on.
-                            hang(socket, out);
+                            holdOpen(socket, out);
                         },
                         failing,
                         (socket, out) -> {
-                            tell(out, change(2) + "\n");
-                            hang(socket, out);
+                            respond(out, cacheAdded(2) + "\n");
+                            holdOpen(socket, out);
                         }));
-        untilInUse();
+        awaitCacheInUse();
         long millis = (System.nanoTime() - back.get()) / 1_000_000;
         assertTrue(
                 millis <= TimeBudget.NOTIFIED_MILLIS - TimeBudget.NOTIFIED_SLACK_MILLIS / 2,
@@ -177,23 +177,23 @@
     /** Guards against a watch that is open and dead, whatever it brought last. */
     @ParameterizedTest
     @ValueSource(strings = {"", "\n", "{\"rev\":1,\"all\":false,\"targets\":[]}\n", "{\"rev\":"})
-    void whatASilentWatchMissesIsInHandInTime(String last) throws Exception {
+    void anUpdateMissedByASilentWatchArrivesInTime(String last) throws Exception {
         AtomicLong silent = new AtomicLong();
-        startWith(
-                discovery(
+        startWithDiscovery(
+                discoveryServer(
                         (socket, out) -> {
                             out.write(HEAD.getBytes(StandardCharsets.ISO_8859_1));
                             if (!last.isEmpty()) {
                                 out.write(chunk(last).getBytes(StandardCharsets.ISO_8859_1));
                             }
                             silent.set(System.nanoTime());
-                            hang(socket, out);
+                            holdOpen(socket, out);
                         },
                         (socket, out) -> {
-                            tell(out, change(2) + "\n");
-                            hang(socket, out);
+                            respond(out, cacheAdded(2) + "\n");
+                            holdOpen(socket, out);
                         }));
-        untilInUse();
+        awaitCacheInUse();
         long millis = (System.nanoTime() - silent.get()) / 1_000_000;
         assertTrue(
                 millis <= TimeBudget.NOTIFIED_MILLIS - TimeBudget.NOTIFIED_SLACK_MILLIS,
@@ -204,19 +204,19 @@
      * Guards against a change that is missed for good, as what comes behind it says nothing of it.
      */
     @Test
-    void aLineThatCannotBeUsedHasTheWholeListAskedFor() throws Exception {
-        startWith(
-                discovery(
+    void anUnusableLineCausesARequestForTheWholeList() throws Exception {
+        startWithDiscovery(
+                discoveryServer(
                         (socket, out) -> {
-                            tell(
+                            respond(
                                     out,
                                     "{\"rev\":2,\"all\":false,\"targets\":[{\"uid\":\"c\",oops}]}\n");
-                            hang(socket, out);
+                            holdOpen(socket, out);
                         },
                         (socket, out) -> {
-                            tell(
+                            respond(
                                     out,
-                                    change(3)
+                                    cacheAdded(3)
                                                     .replace("false", "true")
                                                     .replace(
                                                             "]}",
@@ -228,9 +228,9 @@
                                                                             "Ready")
                                                                     + "]}")
                                             + "\n");
-                            hang(socket, out);
+                            holdOpen(socket, out);
                         }));
-        untilInUse();
+        awaitCacheInUse();
         assertFalse(discovery.requests.get(1).contains("after="), discovery.requests.get(1));
     }
 
@@ -238,63 +238,63 @@
      * Lists may come indented; words in quotes may hold braces, and a blank line is a heartbeat.
      */
     @Test
-    void aListThatGoesOverSeveralLinesIsOneList() throws Exception {
-        startWith(
-                discovery(
+    void aListSpreadOverSeveralLinesIsParsedAsOneList() throws Exception {
+        startWithDiscovery(
+                discoveryServer(
                         (socket, out) -> {
-                            tell(
+                            respond(
                                     out,
                                     "\n"
-                                            + change(2)
+                                            + cacheAdded(2)
                                                     .replace("{", "{\n    ")
                                                     .replace(",", ",\n  ")
                                                     .replace("\"az\":\"a\"", "\"az\":\"a}\\\"{\"")
                                             + "\n\n");
-                            hang(socket, out);
+                            holdOpen(socket, out);
                         }));
-        untilInUse();
+        awaitCacheInUse();
         assertEquals(1, discovery.requests.size());
     }
 
     /** Guards against half a line taken for a line, and one that is told only behind it. */
     @Test
-    void aWatchThatEndsAmidALineIsAskedForWhatItMissed() throws Exception {
-        startWith(
-                discovery(
+    void aWatchCutOffWithinALineResumesAfterTheLastWholeVersion() throws Exception {
+        startWithDiscovery(
+                discoveryServer(
                         (socket, out) -> {
-                            String text = change(7) + "\n";
+                            String text = cacheAdded(7) + "\n";
                             String size = Integer.toHexString(text.length());
                             out.write((HEAD + size + "\r\n" + text.substring(0, 30)).getBytes());
                             reset(socket, out);
                         },
                         (socket, out) -> {
-                            tell(out, change(7) + "\n");
-                            hang(socket, out);
+                            respond(out, cacheAdded(7) + "\n");
+                            holdOpen(socket, out);
                         }));
-        untilInUse();
+        awaitCacheInUse();
         assertTrue(discovery.requests.get(1).contains("after=1 "), discovery.requests.get(1));
     }
 
     /** Where the list must be asked for, the module asks again in time as well. */
     @Test
-    void aListThatMustBeAskedForIsInHandInTimeToo() throws Exception {
+    void anUpdateInSubscribeModeArrivesInTimeAfterFailedCalls() throws Exception {
         extraSettings = "\"registry-mode\":\"subscribe\",\"rules\":{\"ask-within-s\":60},";
         AtomicLong back = new AtomicLong();
-        Turn failing = DiscoveryTest::reset;
-        startWith(
-                discovery(
+        CallHandler failing = DiscoveryTest::reset;
+        startWithDiscovery(
+                discoveryServer(
                         failing,
                         failing,
                         failing,
                         (socket, out) -> {
                             back.set(System.nanoTime());
-                            hang(socket, out);
+                            holdOpen(socket, out);
                         },
                         (socket, out) -> {
-                            tell(out, change(2) + "\n");
-                            hang(socket, out);
+                            respond(out, cacheAdded(2) + "\n");
+                            holdOpen(socket, out);
                         }));
-        untilInUse();
+        awaitCacheInUse();
         long millis = (System.nanoTime() - back.get()) / 1_000_000;
         assertTrue(
                 millis <= TimeBudget.NOTIFIED_MILLIS - TimeBudget.NOTIFIED_SLACK_MILLIS / 2,
@@ -310,15 +310,15 @@
         maxSockets = 96;
         CountDownLatch up = new CountDownLatch(1);
         AtomicLong told = new AtomicLong();
-        startWith(
-                discovery(
+        startWithDiscovery(
+                discoveryServer(
                         (socket, out) -> {
                             if (up.getCount() > 0) {
                                 reset(socket, out);
                             } else {
-                                tell(out, change(2) + "\n");
+                                respond(out, cacheAdded(2) + "\n");
                                 told.compareAndSet(0, System.nanoTime());
-                                hang(socket, out);
+                                holdOpen(socket, out);
                             }
                         }));
         proxy.stop();
@@ -376,7 +376,7 @@
         assertTrue(millis <= TimeBudget.NOTIFIED_MILLIS, "the watch is back after " + millis);
         int code = 0;
         while (code == 0) {
-            code = oneRead(port);
+            code = readStatus(port);
         }
         assertEquals(200, code, "what is taken finds a descriptor for its node");
         assertEquals(1, cache.requests.size());
@@ -384,7 +384,7 @@
     }
 
     /** The answer's code, or 0 where one of the crowd was faster. */
-    private int oneRead(int port) throws IOException {
+    private int readStatus(int port) throws IOException {
         try (Socket client = new Socket(InetAddress.getLoopbackAddress(), port)) {
             client.setSoTimeout(500);
             send(client, "GET /view/1", ttlHeader(300), "");
--- a/src/test/java/cairnbridge/proxy/OperatorsTest.java
+++ b/src/test/java/cairnbridge/proxy/OperatorsTest.java
@@ -31,33 +31,33 @@
 /** What staff call and what the proxy then does, on real sockets. */
 class OperatorsTest extends ProxyTestSupport {
     @BeforeEach
-    void openADoor() {
+    void enableAdminServer() {
         extraConfig = "\"admin_addr\":\"127.0.0.1:0\",";
     }
 
-    private Socket caller(ProxyServer at) throws IOException {
+    private Socket connectAdmin(ProxyServer at) throws IOException {
         InetSocketAddress door = at.adminAddress();
         Socket caller = new Socket(door.getAddress(), door.getPort());
         opened.add(caller);
         return caller;
     }
 
-    private String call(ProxyServer at, String line) throws IOException {
-        Socket caller = caller(at);
+    private String callAdmin(ProxyServer at, String line) throws IOException {
+        Socket caller = connectAdmin(at);
         caller.getOutputStream().write((line + "\n").getBytes(StandardCharsets.ISO_8859_1));
         return new String(caller.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
     }
 
-    private String call(String line) throws IOException {
-        return call(proxy, line);
+    private String callAdmin(String line) throws IOException {
+        return callAdmin(proxy, line);
     }
 
-    private boolean says(String figure) throws IOException {
-        return call("stats").contains("\nlb." + figure + "\n");
+    private boolean hasMetric(String figure) throws IOException {
+        return callAdmin("stats").contains("\nlb." + figure + "\n");
     }
 
     @Test
-    void withoutAnAddressThereIsNoDoor() throws Exception {
+    void withoutAnAdminAddressThereIsNoAdminServer() throws Exception {
         extraConfig = "";
         start();
         assertNull(proxy.adminAddress());
@@ -73,27 +73,27 @@
                 "maint-off nobody",
                 "STATUS"
             })
-    void whatIsNoCallOrNamesNobodyIsRefused(String line) throws Exception {
+    void unknownCommandsAndUnknownNodesAreRefused(String line) throws Exception {
         start();
-        String answer = call(line);
+        String answer = callAdmin(line);
         assertEquals(line.startsWith("status") ? "200" : "400", answer.substring(0, 3), answer);
-        assertTrue(call("x".repeat(5000)).isEmpty() || call("x".repeat(600)).startsWith("400"));
-        assertTrue(call("status").startsWith("200"));
+        assertTrue(callAdmin("x".repeat(5000)).isEmpty() || callAdmin("x".repeat(600)).startsWith("400"));
+        assertTrue(callAdmin("status").startsWith("200"));
     }
 
     /**
      * Guards against a call of which a part is carried out, or that says yes to what is not kept.
      */
     @Test
-    void whatIsNotOneCallOrCannotBeKeptChangesNothing() throws Exception {
+    void twoCommandsAtOnceOrOneThatCannotBePersistedChangeNothing() throws Exception {
         start();
-        assertEquals("400 one line to a connection\n", call("maint-on c\nmaint-off o"));
+        assertEquals("400 one line to a connection\n", callAdmin("maint-on c\nmaint-off o"));
         Path away = folder.resolveSibling(folder.getFileName() + "-away");
         Files.move(folder, away);
-        assertEquals("400 cannot be kept, nothing has changed\n", call("maint-on c"));
+        assertEquals("400 cannot be kept, nothing has changed\n", callAdmin("maint-on c"));
         Files.move(away, folder);
         assertEquals(200, statusCode(sendRequest("GET /view/1", ttlHeader(800), "")));
-        assertTrue(says("hosts_down:0|g"));
+        assertTrue(hasMetric("hosts_down:0|g"));
         IOException taken =
                 assertThrows(
                         IOException.class,
@@ -103,29 +103,29 @@
 
     /** Guards against a node freed because its mark is not as this program writes it. */
     @Test
-    void marksThatAreForeignOrSpoiltHoldTheirNodeOrSayNothing() throws Exception {
+    void aDamagedMarkerFileKeepsItsNodeInMaintenanceAndUnknownFilesAreIgnored() throws Exception {
         Files.writeString(folder.resolve("hold-" + Long.toHexString(Fnv1a.hash("c"))), "\0half");
         Files.writeString(folder.resolve("hold-whom"), "c");
         Files.writeString(folder.resolve("ready-99999999999999999-1"), "");
         start();
         assertEquals(503, statusCode(sendRequest("GET /view/1", ttlHeader(800), "")));
-        assertTrue(call("maint-off c").startsWith("200"));
+        assertTrue(callAdmin("maint-off c").startsWith("200"));
         assertEquals(200, statusCode(sendRequest("GET /view/1", ttlHeader(800), "")));
     }
 
     @Test
-    void callersWhoHoldTheirPlaceKeepNobodyWaiting() throws Exception {
+    void stalledAdminConnectionsDoNotDelayOtherCallers() throws Exception {
         start();
         for (int i = 0; i < 100; i++) {
-            caller(proxy).getOutputStream().write("stat".getBytes(StandardCharsets.ISO_8859_1));
+            connectAdmin(proxy).getOutputStream().write("stat".getBytes(StandardCharsets.ISO_8859_1));
         }
         long called = System.nanoTime();
-        assertTrue(call("status").startsWith("200"));
+        assertTrue(callAdmin("status").startsWith("200"));
         assertTrue(System.nanoTime() - called < 1_000_000_000L);
     }
 
     @Test
-    void theFiguresCountEachOpAndPushOnceAndNothingOfTheRehearsal() throws Exception {
+    void metricsCountEachRequestAndAttemptOnceAndNothingOfTheWarmUp() throws Exception {
         CountDownLatch late = new CountDownLatch(1);
         cacheHandler =
                 request -> {
@@ -136,19 +136,19 @@
                 };
         originHandler = request -> request.startsWith("PUT") ? "500 Ill||" : "200 OK||fetched";
         start();
-        assertTrue(says("backend_calls:0|c") && says("inflight:0|g"));
+        assertTrue(hasMetric("backend_calls:0|c") && hasMetric("inflight:0|g"));
         assertEquals(200, statusCode(sendRequest("GET /view/1", ttlHeader(800), "")));
         assertEquals(200, statusCode(sendRequest("GET /view/absent", ttlHeader(800), "")));
         assertEquals(502, statusCode(sendRequest("PUT /loan/1", ttlHeader(800), "v")));
         assertEquals(400, statusCode(sendRequest("GET /view/1", "", "")));
         Socket slow = connectClient();
         send(slow, "GET /view/slow", ttlHeader(5000), "");
-        waitUntil(() -> says("backend_calls:5|c"));
-        assertTrue(says("inflight:1|g"));
+        waitUntil(() -> hasMetric("backend_calls:5|c"));
+        assertTrue(hasMetric("inflight:1|g"));
         late.countDown();
         assertEquals(200, statusCode(readMessage(slow)));
-        waitUntil(() -> says("inflight:0|g"));
-        String stats = call("stats");
+        waitUntil(() -> hasMetric("inflight:0|g"));
+        String stats = callAdmin("stats");
         assertEquals(
                 """
                 lb.calls.view.success:3|c
@@ -171,7 +171,7 @@
     }
 
     @Test
-    void aNodeTakenOutGetsNothingWhateverTheListSaysUntilItIsPutBack() throws Exception {
+    void aNodeInMaintenanceGetsNoRequestsWhateverTheListSaysUntilItIsReleased() throws Exception {
         CountDownLatch change = new CountDownLatch(1);
         StandInServer out = new StandInServer(request -> HIT);
         discoveryHandler =
@@ -187,16 +187,16 @@
             assertEquals(200, statusCode(sendRequest("GET /view/" + key, ttlHeader(800), "")));
         }
         assertTrue(
-                call("maint-on out").startsWith("200") && call("maint-on out").startsWith("200"));
+                callAdmin("maint-on out").startsWith("200") && callAdmin("maint-on out").startsWith("200"));
         waitUntil(() -> out.endedConnections.get() == out.connections.size());
-        waitUntil(() -> says("hosts_down:1|g"));
+        waitUntil(() -> hasMetric("hosts_down:1|g"));
         out.requests.clear();
         change.countDown();
         for (int key = 0; key < 40; key++) {
             assertEquals(200, statusCode(sendRequest("GET /view/" + key, ttlHeader(800), "")));
         }
         assertTrue(out.requests.isEmpty());
-        assertTrue(call("maint-off out").startsWith("200"));
+        assertTrue(callAdmin("maint-off out").startsWith("200"));
         for (int key = 0; out.requests.isEmpty(); key++) {
             assertEquals(200, statusCode(sendRequest("GET /view/" + key, ttlHeader(800), "")));
         }
@@ -207,7 +207,7 @@
      * nobody has.
      */
     @Test
-    void aHoldThatComesBeforeAnyListIsTaken() throws Exception {
+    void maintenanceSetBeforeAnyListIsApplied() throws Exception {
         cache = new StandInServer(request -> cacheHandler.apply(request));
         origin = new StandInServer(request -> originHandler.apply(request));
         discovery = new StandInServer(request -> discoveryHandler.apply(request));
@@ -221,18 +221,18 @@
                             + "\n";
                 };
         proxy = startServer(endpointListJson(1, true));
-        assertTrue(call("maint-on c").startsWith("200"));
+        assertTrue(callAdmin("maint-on c").startsWith("200"));
         change.countDown();
-        waitUntil(() -> says("hosts_listed:1|g"));
+        waitUntil(() -> hasMetric("hosts_listed:1|g"));
         assertEquals(503, statusCode(sendRequest("GET /view/1", ttlHeader(800), "")));
         assertTrue(cache.requests.isEmpty());
     }
 
     @Test
-    void aHoldOutlivesTheProcessAndReachesAnotherThatRuns() throws Exception {
+    void maintenanceSurvivesARestartAndItsEndReachesOtherProcesses() throws Exception {
         StandInServer out = new StandInServer(request -> HIT);
         start(endpointJson("out", out.address(), "cache", "Ready"));
-        assertTrue(call("maint-on out").startsWith("200"));
+        assertTrue(callAdmin("maint-on out").startsWith("200"));
         proxy.stop();
         String known =
                 endpointListJson(
@@ -243,7 +243,7 @@
         proxy = startServer(known);
         assertEquals(503, statusCode(sendRequest("GET /view/1", ttlHeader(800), "")));
         ProxyServer younger = startServer(known);
-        assertTrue(call(younger, "maint-off out").startsWith("200"));
+        assertTrue(callAdmin(younger, "maint-off out").startsWith("200"));
         waitUntil(() -> statusCode(sendRequest("GET /view/1", ttlHeader(800), "")) == 200);
         try (var files = Files.list(folder)) {
             assertEquals(
@@ -259,7 +259,7 @@
      * Guards against a new version that has to learn anew, under load, which node answers nothing.
      */
     @Test
-    void aProcessThatServesKeepsWhatItHasLearntForTheNextBesideIt() throws Exception {
+    void aServingProcessWritesItsWarmStartFileForItsSuccessor() throws Exception {
         originHandler = request -> "500 Ill||";
         cacheHandler = request -> "500 Ill||";
         start();
@@ -276,7 +276,7 @@
     /** Guards against a start that fails and then waits, or complains of itself. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void anAddressThatIsTakenEndsTheStartWithOneLine(boolean door) throws Exception {
+    void anAddressInUseFailsTheStartWithOneLogLine(boolean door) throws Exception {
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = door ? 0 : taken.getLocalPort();
             extraConfig = "\"admin_addr\":\"127.0.0.1:" + (door ? taken.getLocalPort() : 0) + "\",";
@@ -296,14 +296,14 @@
 
     /** Guards against two processes that each keep to the budget and together do not. */
     @Test
-    void whatAnotherProcessHoldsCountsInTheBudget() throws Exception {
+    void descriptorsHeldByAnotherProcessCountAgainstTheBudget() throws Exception {
         maxSockets = 128;
         long other = ProcessHandle.current().parent().orElseThrow().pid();
         start();
         assertEquals(200, statusCode(sendRequest("GET /view/1", ttlHeader(800), "")));
         Path mark = folder.resolve("runs-" + other + "-1");
         Files.writeString(mark, "128");
-        waitUntil(() -> !serves());
+        waitUntil(() -> !isServing());
         try (var files = Files.list(folder)) {
             Path own =
                     files.filter(
@@ -315,10 +315,10 @@
             waitUntil(() -> Integer.parseInt("0" + Files.readString(own)) > 0);
         }
         Files.delete(mark);
-        waitUntil(this::serves);
+        waitUntil(this::isServing);
     }
 
-    private boolean serves() {
+    private boolean isServing() {
         try {
             String answer = sendRequest("GET /view/1", ttlHeader(800), "");
             return answer != null && statusCode(answer) == 200;
@@ -329,7 +329,7 @@
 
     /** Guards against clients that meet a closed door while one process takes another's place. */
     @Test
-    void aYoungerProcessAtTheSameAddressTakesTheClientsOver() throws Exception {
+    void aSuccessorAtTheSameAddressTakesTheClientsOver() throws Exception {
         extraConfig = "";
         start();
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -389,22 +389,22 @@
     }
 
     @Test
-    void standbySendsClientsAwayAndActiveTakesThemAgain() throws Exception {
+    void standbyClosesClientConnectionsAndActiveAcceptsThemAgain() throws Exception {
         start();
         List<Socket> clients = new ArrayList<>(List.of(connectClient(), connectClient()));
         for (Socket each : clients) {
             send(each, "GET /view/1", ttlHeader(800), "");
             assertFalse(readMessage(each).contains("Connection: close"));
         }
-        assertTrue(call("standby").startsWith("200"));
-        assertTrue(call("status").startsWith("400"));
+        assertTrue(callAdmin("standby").startsWith("200"));
+        assertTrue(callAdmin("status").startsWith("400"));
         assertEquals(503, statusCode(sendRequest("GET /-/ready", "", "")));
         send(clients.get(0), "GET /view/1", ttlHeader(800), "");
         String answer = readMessage(clients.get(0));
         assertEquals(200, statusCode(answer));
         assertTrue(answer.contains("Connection: close"), answer);
         assertEquals(-1, clients.get(1).getInputStream().read());
-        assertTrue(call("active").startsWith("200"));
+        assertTrue(callAdmin("active").startsWith("200"));
         assertEquals(200, statusCode(sendRequest("GET /-/ready", "", "")));
         assertFalse(sendRequest("GET /view/1", ttlHeader(800), "").contains("Connection: close"));
     }
--- a/src/test/java/cairnbridge/proxy/ReloadTest.java
+++ b/src/test/java/cairnbridge/proxy/ReloadTest.java
@@ -22,7 +22,7 @@
      */
     @ParameterizedTest
     @ValueSource(strings = {"trap '' HUP", "trap - HUP"})
-    void aNodeThatDrainsByTheNewDiscoveryGetsNothingAfterAReload(String inherited)
+    void aNodeThatDrainsInTheNewDiscoveryListGetsNoRequestsAfterAReload(String inherited)
             throws Exception {
         start();
         StandInServer draining = new StandInServer(request -> HIT);
@@ -44,24 +44,24 @@
         Process process = startProcessAfter(inherited);
         BufferedReader log = logOf(process);
         int port = portFromLog(log);
-        assertEquals(200, read(port));
+        assertEquals(200, readStatus(port));
         assertEquals(1, draining.requests.size());
 
         config(before, moved.address());
         sendSignal(process, "HUP");
         long reloaded = System.nanoTime();
         waitUntil(() -> !moved.requests.isEmpty());
-        waitUntil(() -> read(port) == 200 && !cache.requests.isEmpty());
+        waitUntil(() -> readStatus(port) == 200 && !cache.requests.isEmpty());
         long millis = (System.nanoTime() - reloaded) / 1_000_000;
         assertTrue(millis <= TimeBudget.RELOAD_NOTIFIED_MILLIS, "in force after " + millis + " ms");
         int sent = draining.requests.size();
         for (int i = 0; i < READS; i++) {
-            assertEquals(200, read(port));
+            assertEquals(200, readStatus(port));
         }
         assertEquals(sent, draining.requests.size());
     }
 
-    private int read(int port) throws IOException {
+    private int readStatus(int port) throws IOException {
         try (Socket client = new Socket(InetAddress.getLoopbackAddress(), port)) {
             send(client, "GET /view/1", ttlHeader(800), "");
             return statusCode(readMessage(client));
--- a/src/test/java/cairnbridge/proxy/RestartSoakTest.java
+++ b/src/test/java/cairnbridge/proxy/RestartSoakTest.java
@@ -33,27 +33,27 @@
 class RestartSoakTest extends ProxyTestSupport {
     private static final long DEFAULT_FIRST_SEED = 1;
     private static final long DEFAULT_SEEDS = 6;
-    private static final List<SoakClient.Kind> CLIENTS =
+    private static final List<SoakClient.Disconnects> CLIENTS =
             List.of(
-                    SoakClient.Kind.LEAVES,
-                    SoakClient.Kind.RECONNECTS,
-                    SoakClient.Kind.KEEPS,
-                    SoakClient.Kind.KEEPS,
-                    SoakClient.Kind.KEEPS);
-    private static final int SILENT_CLIENTS = 30;
+                    SoakClient.Disconnects.BEFORE_SOME_RESPONSES,
+                    SoakClient.Disconnects.AFTER_EACH_RESPONSE,
+                    SoakClient.Disconnects.NEVER,
+                    SoakClient.Disconnects.NEVER,
+                    SoakClient.Disconnects.NEVER);
+    private static final int IDLE_CLIENTS = 30;
     private static final int STEPS = 2;
 
     /** The longest TTL of the settings, and what the platform adds before it kills. */
-    private static final long KILL_AFTER_MILLIS = 1000 + 700;
+    private static final long KILL_DELAY_MILLIS = 1000 + 700;
 
     /** For so long after SIGTERM new connections come to a process that has no successor. */
-    private static final long CONNECTING_MILLIS = 300;
+    private static final long CONNECT_AFTER_TERM_MILLIS = 300;
 
     private static final long NOTIFIED_MILLIS = 6000;
     private static final Path LOG_FOLDER = Path.of("target", "soak");
     private static final int RESET_INTERVAL = 8;
     private static final Pattern TRACE_ID = Pattern.compile("(?i)x-trace-id: (\\S+)");
-    private static final Pattern TOLD_MICROS = Pattern.compile("(?i)x-expires-in: (\\d+)u");
+    private static final Pattern EXPIRES_IN_MICROS = Pattern.compile("(?i)x-expires-in: (\\d+)u");
 
     /** What happens to the process that serves. */
     private enum Step {
@@ -66,13 +66,13 @@
         UPGRADE_UNDER_RELOAD
     }
 
-    private final SoakJudge judge = new SoakJudge();
+    private final SoakChecker checker = new SoakChecker();
     private final List<String> history = new ArrayList<>();
     private RandomGenerator random;
     private Process serving;
     private volatile boolean mayConnect;
     private volatile boolean draining;
-    private boolean discoveryIsAway;
+    private boolean discoveryIsDown;
     private int adminPort;
     private String knownList;
     private Path logFile;
@@ -84,7 +84,7 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void everyRequestKeepsItsRulesOverRestartsAndUpgrades(long seed) throws Exception {
+    void noRequestBreaksAServiceRuleDuringRestartsAndUpgrades(long seed) throws Exception {
         random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
         logFile = Files.createDirectories(LOG_FOLDER).resolve("seed-" + seed + ".log");
         Files.deleteIfExists(logFile);
@@ -93,7 +93,7 @@
         List<SoakClient> clients = startClients();
         for (int i = 0; i < STEPS; i++) {
             Thread.sleep(random.nextInt(300, 900));
-            play(Step.values()[random.nextInt(Step.values().length)]);
+            perform(Step.values()[random.nextInt(Step.values().length)]);
         }
         Thread.sleep(300);
         mayConnect = false;
@@ -103,24 +103,24 @@
                 "soak: seed %d, %s: %d requests, %d answered, %d crossed a close, broken: %s%n",
                 seed,
                 history,
-                judge.requestCount(),
-                judge.answeredCount(),
-                judge.crossedCount(),
-                judge.violations());
+                checker.requestCount(),
+                checker.answeredCount(),
+                checker.closeRaceCount(),
+                checker.violations());
 
         assertEquals(
                 List.of(),
-                judge.violations(),
+                checker.violations(),
                 () ->
                         "make soak SEED=%d SEEDS=1; %s; logs in %s"
                                 .formatted(seed, history, logFile));
-        assertTrue(judge.answeredCount() > 0);
+        assertTrue(checker.answeredCount() > 0);
     }
 
     private void startStandIns() throws IOException {
         boolean hangs = random.nextInt(3) == 0;
         boolean resets = random.nextInt(3) == 0;
-        discoveryIsAway = random.nextInt(4) == 0;
+        discoveryIsDown = random.nextInt(4) == 0;
         cache = new StandInServer(request -> serve(request, "c", false, resets));
         StandInServer second = new StandInServer(request -> serve(request, "d", hangs, false));
         origin = new StandInServer(request -> serve(request, "o", false, false));
@@ -133,7 +133,7 @@
         discovery =
                 new StandInServer(
                         request ->
-                                discoveryIsAway
+                                discoveryIsDown
                                         ? RESET_CONNECTION
                                         : draining
                                                 ? "200 OK||" + endpointListJson(2, false, drained)
@@ -143,7 +143,7 @@
         history.add(
                 (hangs ? "a cache hangs, " : "")
                         + (resets ? "a cache resets, " : "")
-                        + (discoveryIsAway ? "discovery is away" : "discovery is there"));
+                        + (discoveryIsDown ? "discovery is away" : "discovery is there"));
     }
 
     private static int freePort() throws IOException {
@@ -155,10 +155,10 @@
     private String serve(String request, String node, boolean hangs, boolean resets) {
         long nowNanos = System.nanoTime();
         Matcher trace = TRACE_ID.matcher(request);
-        Matcher told = TOLD_MICROS.matcher(request);
+        Matcher told = EXPIRES_IN_MICROS.matcher(request);
         if (trace.find() && told.find()) {
             long toldMillis = TimeUnit.MICROSECONDS.toMillis(Long.parseLong(told.group(1)));
-            judge.attempted(trace.group(1), node, toldMillis, nowNanos);
+            checker.attempted(trace.group(1), node, toldMillis, nowNanos);
             if (resets && Math.floorMod(trace.group(1).hashCode(), RESET_INTERVAL) == 0) {
                 return RESET_CONNECTION;
             }
@@ -172,7 +172,7 @@
             RandomGenerator own =
                     RandomGeneratorFactory.of("L64X128MixRandom").create(random.nextLong());
             SoakClient client =
-                    new SoakClient("soak-" + i, judge, port, CLIENTS.get(i), () -> mayConnect, own);
+                    new SoakClient("soak-" + i, checker, port, CLIENTS.get(i), () -> mayConnect, own);
             clients.add(client);
             daemon(
                     () -> {
@@ -182,7 +182,7 @@
         }
         if (random.nextInt(3) == 0) {
             history.add("a silent crowd");
-            for (int i = 0; i < SILENT_CLIENTS; i++) {
+            for (int i = 0; i < IDLE_CLIENTS; i++) {
                 opened.add(new Socket(InetAddress.getLoopbackAddress(), port));
             }
         }
@@ -193,7 +193,7 @@
         Process process = startNext();
         BufferedReader log = logOf(process);
         portFromLog(log);
-        keepLog(process, log);
+        copyLog(process, log);
         mayConnect = true;
         return process;
     }
@@ -207,7 +207,7 @@
     }
 
     /** Takes the log of a process, so that it never waits for that, and keeps it. */
-    private void keepLog(Process process, BufferedReader log) {
+    private void copyLog(Process process, BufferedReader log) {
         daemon(
                 () -> {
                     for (String line = log.readLine(); line != null; line = log.readLine()) {
@@ -222,7 +222,7 @@
                 });
     }
 
-    private void play(Step step) throws Exception {
+    private void perform(Step step) throws Exception {
         history.add(step.toString());
         if (step == Step.UPGRADE || step == Step.UPGRADE_UNDER_RELOAD) {
             upgrade(step == Step.UPGRADE_UNDER_RELOAD);
@@ -243,9 +243,9 @@
             Thread.sleep(random.nextInt(400));
             sendSignal(serving, "TERM");
         }
-        sleepUntil(toldNanos, CONNECTING_MILLIS);
+        sleepUntil(toldNanos, CONNECT_AFTER_TERM_MILLIS);
         mayConnect = false;
-        killWhenDue(serving, toldNanos);
+        killAfterDelay(serving, toldNanos);
         if (step == Step.TERMINATE_DURING_START) {
             terminateDuringStart();
         }
@@ -263,21 +263,21 @@
 
     private void terminateDuringStart() throws Exception {
         Process starting = startNext();
-        keepLog(starting, logOf(starting));
+        copyLog(starting, logOf(starting));
         mayConnect = true;
         Thread.sleep(random.nextInt(200, 1500));
         long toldNanos = System.nanoTime();
         sendSignal(starting, "TERM");
-        sleepUntil(toldNanos, CONNECTING_MILLIS);
+        sleepUntil(toldNanos, CONNECT_AFTER_TERM_MILLIS);
         mayConnect = false;
-        killWhenDue(starting, toldNanos);
+        killAfterDelay(starting, toldNanos);
     }
 
     private void upgrade(boolean underReload) throws Exception {
         Process younger = startServing();
-        if (!draining && !discoveryIsAway) {
+        if (!draining && !discoveryIsDown) {
             draining = true;
-            judge.drained("d", System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(NOTIFIED_MILLIS));
+            checker.drained("d", System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(NOTIFIED_MILLIS));
         }
         if (underReload) {
             sendSignal(serving, "HUP");
@@ -285,13 +285,13 @@
         }
         long toldNanos = System.nanoTime();
         sendSignal(serving, "TERM");
-        killWhenDue(serving, toldNanos);
+        killAfterDelay(serving, toldNanos);
         serving = younger;
     }
 
     /** SIGKILL at the earliest time that the platform's page allows. */
-    private static void killWhenDue(Process process, long toldNanos) throws Exception {
-        sleepUntil(toldNanos, KILL_AFTER_MILLIS);
+    private static void killAfterDelay(Process process, long toldNanos) throws Exception {
+        sleepUntil(toldNanos, KILL_DELAY_MILLIS);
         process.destroyForcibly().waitFor();
     }
 
--- a/src/test/java/cairnbridge/proxy/SoakJudge.java
+++ b/src/test/java/cairnbridge/proxy/SoakChecker.java
@@ -10,7 +10,7 @@
  * Collects what clients and servers saw of each request, and says which rules of the service were
  * broken. Times are those of {@link System#nanoTime}. Any thread may call it.
  */
-final class SoakJudge {
+final class SoakChecker {
     /** How long after its TTL an answer may come before the request counts as lost. */
     static final long LATE_ANSWER_MILLIS = 500;
 
@@ -21,10 +21,10 @@
     static final long DEADLINE_SLACK_MILLIS = 150;
 
     /** A connection that rested so long may be closed while a request is on its way to it. */
-    static final long REST_MILLIS = 100;
+    static final long CLOSE_RACE_IDLE_MILLIS = 100;
 
     /** Within this time of its sending a close counts as having crossed a request. */
-    static final long CROSSING_MILLIS = 100;
+    static final long CLOSE_RACE_MILLIS = 100;
 
     /** The rules that a run can break. */
     enum Rule {
@@ -43,33 +43,33 @@
     record Violation(Rule rule, String traceId, String detail) {}
 
     /** How a request ended as its client saw it. */
-    private enum End {
+    private enum Outcome {
         ANSWERED,
         CLOSED,
-        CLIENT_LEFT
+        CLIENT_DISCONNECTED
     }
 
-    private record Attempt(String node, long atNanos, long toldMillis) {}
+    private record Attempt(String node, long atNanos, long expiresInMillis) {}
 
     /** One request; its fields are guarded by its own lock. */
-    private static final class Entry {
+    private static final class TrackedRequest {
         private final boolean repeatable;
         private final long ttlMillis;
-        private final long restedMillis;
+        private final long idleMillis;
         private final long sentNanos;
         private final List<Attempt> attempts = new ArrayList<>();
-        private End end;
-        private long endNanos;
+        private Outcome outcome;
+        private long outcomeNanos;
 
-        Entry(boolean repeatable, long ttlMillis, long restedMillis, long sentNanos) {
+        TrackedRequest(boolean repeatable, long ttlMillis, long restedMillis, long sentNanos) {
             this.repeatable = repeatable;
             this.ttlMillis = ttlMillis;
-            this.restedMillis = restedMillis;
+            this.idleMillis = restedMillis;
             this.sentNanos = sentNanos;
         }
     }
 
-    private final Map<String, Entry> requests = new ConcurrentHashMap<>();
+    private final Map<String, TrackedRequest> requests = new ConcurrentHashMap<>();
     private final Map<String, Long> drainedSinceNanos = new ConcurrentHashMap<>();
 
     /**
@@ -79,35 +79,35 @@
      */
     void sent(
             String traceId, boolean repeatable, long ttlMillis, long restedMillis, long nowNanos) {
-        requests.put(traceId, new Entry(repeatable, ttlMillis, restedMillis, nowNanos));
+        requests.put(traceId, new TrackedRequest(repeatable, ttlMillis, restedMillis, nowNanos));
     }
 
     /** A client has a whole answer. */
     void answered(String traceId, long nowNanos) {
-        end(traceId, End.ANSWERED, nowNanos);
+        recordOutcome(traceId, Outcome.ANSWERED, nowNanos);
     }
 
     /** A client's connection was closed with no whole answer. */
     void closed(String traceId, long nowNanos) {
-        end(traceId, End.CLOSED, nowNanos);
+        recordOutcome(traceId, Outcome.CLOSED, nowNanos);
     }
 
     /** A client has closed its connection without waiting for the answer. */
-    void clientLeft(String traceId, long nowNanos) {
-        end(traceId, End.CLIENT_LEFT, nowNanos);
+    void clientDisconnected(String traceId, long nowNanos) {
+        recordOutcome(traceId, Outcome.CLIENT_DISCONNECTED, nowNanos);
     }
 
-    private void end(String traceId, End end, long nowNanos) {
-        Entry entry = requests.get(traceId);
+    private void recordOutcome(String traceId, Outcome end, long nowNanos) {
+        TrackedRequest entry = requests.get(traceId);
         synchronized (entry) {
-            entry.end = end;
-            entry.endNanos = nowNanos;
+            entry.outcome = end;
+            entry.outcomeNanos = nowNanos;
         }
     }
 
     /** A server has read a whole attempt that was told to take this long at most. */
     void attempted(String traceId, String node, long toldMillis, long nowNanos) {
-        Entry entry = requests.get(traceId);
+        TrackedRequest entry = requests.get(traceId);
         if (entry != null) { // Others are of the warm-up, or of health checks.
             synchronized (entry) {
                 entry.attempts.add(new Attempt(node, nowNanos, toldMillis));
@@ -127,13 +127,13 @@
 
     /** How many requests were answered. */
     long answeredCount() {
-        return requests.values().stream().filter(entry -> entry.end == End.ANSWERED).count();
+        return requests.values().stream().filter(entry -> entry.outcome == Outcome.ANSWERED).count();
     }
 
     /** How many requests crossed the close of a connection that had rested. */
-    long crossedCount() {
+    long closeRaceCount() {
         return requests.values().stream()
-                .filter(entry -> entry.end == End.CLOSED && hasCrossed(entry))
+                .filter(entry -> entry.outcome == Outcome.CLOSED && isCloseRace(entry))
                 .count();
     }
 
@@ -143,50 +143,50 @@
         requests.forEach(
                 (traceId, entry) -> {
                     synchronized (entry) {
-                        checkEnd(traceId, entry, found);
+                        checkOutcome(traceId, entry, found);
                         checkAttempts(traceId, entry, found);
                     }
                 });
         return found;
     }
 
-    private static void checkEnd(String traceId, Entry entry, List<Violation> found) {
-        long tookMillis = millisBetween(entry.sentNanos, entry.endNanos);
-        if (entry.end == null) {
+    private static void checkOutcome(String traceId, TrackedRequest entry, List<Violation> found) {
+        long tookMillis = millisBetween(entry.sentNanos, entry.outcomeNanos);
+        if (entry.outcome == null) {
             found.add(new Violation(Rule.LOST, traceId, "no end"));
-        } else if (entry.end == End.ANSWERED && tookMillis > entry.ttlMillis + LATE_ANSWER_MILLIS) {
+        } else if (entry.outcome == Outcome.ANSWERED && tookMillis > entry.ttlMillis + LATE_ANSWER_MILLIS) {
             found.add(new Violation(Rule.LOST, traceId, "answered after " + tookMillis + " ms"));
-        } else if (entry.end == End.CLOSED && !hasCrossed(entry)) {
+        } else if (entry.outcome == Outcome.CLOSED && !isCloseRace(entry)) {
             String detail =
                     "closed after "
                             + tookMillis
                             + " ms, "
                             + entry.attempts.size()
                             + " attempts, rested "
-                            + entry.restedMillis
+                            + entry.idleMillis
                             + " ms";
             found.add(new Violation(Rule.LOST, traceId, detail));
         }
     }
 
-    private static boolean hasCrossed(Entry entry) {
+    private static boolean isCloseRace(TrackedRequest entry) {
         return entry.attempts.isEmpty()
-                && entry.restedMillis >= REST_MILLIS
-                && millisBetween(entry.sentNanos, entry.endNanos) <= CROSSING_MILLIS;
+                && entry.idleMillis >= CLOSE_RACE_IDLE_MILLIS
+                && millisBetween(entry.sentNanos, entry.outcomeNanos) <= CLOSE_RACE_MILLIS;
     }
 
-    private void checkAttempts(String traceId, Entry entry, List<Violation> found) {
+    private void checkAttempts(String traceId, TrackedRequest entry, List<Violation> found) {
         if (!entry.repeatable && entry.attempts.size() > 1) {
             found.add(new Violation(Rule.DUPLICATE, traceId, entry.attempts.size() + " attempts"));
         }
         for (Attempt attempt : entry.attempts) {
             long leftMillis = entry.ttlMillis - millisBetween(entry.sentNanos, attempt.atNanos);
-            if (attempt.toldMillis > leftMillis + DEADLINE_SLACK_MILLIS) {
-                String detail = "told " + attempt.toldMillis + " ms of " + leftMillis;
+            if (attempt.expiresInMillis > leftMillis + DEADLINE_SLACK_MILLIS) {
+                String detail = "told " + attempt.expiresInMillis + " ms of " + leftMillis;
                 found.add(new Violation(Rule.DEADLINE, traceId, detail));
             }
-            long lateMillis = millisBetween(entry.endNanos, attempt.atNanos);
-            if (entry.end == End.CLIENT_LEFT && lateMillis > LATE_ATTEMPT_MILLIS) {
+            long lateMillis = millisBetween(entry.outcomeNanos, attempt.atNanos);
+            if (entry.outcome == Outcome.CLIENT_DISCONNECTED && lateMillis > LATE_ATTEMPT_MILLIS) {
                 String detail = "begun " + lateMillis + " ms after its client left";
                 found.add(new Violation(Rule.LATE_ATTEMPT, traceId, detail));
             }
--- a/src/test/java/cairnbridge/proxy/SoakClient.java
+++ b/src/test/java/cairnbridge/proxy/SoakClient.java
@@ -21,27 +21,27 @@
     private static final int RECONNECT_PAUSE_MILLIS = 3;
 
     /** How a client ends its connections itself. */
-    enum Kind {
+    enum Disconnects {
         /** Not at all. */
-        KEEPS,
+        NEVER,
         /** After each answer. */
-        RECONNECTS,
+        AFTER_EACH_RESPONSE,
         /** At times without waiting for the answer. */
-        LEAVES
+        BEFORE_SOME_RESPONSES
     }
 
     /** Of so many requests one is a write, and one is left by a client that leaves at all. */
     private static final int WRITE_INTERVAL = 4;
 
-    private static final int LEAVE_INTERVAL = 5;
-    private static final int LONG_REST_INTERVAL = 10;
-    private static final int LONG_REST_MILLIS = 300;
-    private static final int SHORT_REST_MILLIS = 6;
+    private static final int DISCONNECT_INTERVAL = 5;
+    private static final int LONG_IDLE_INTERVAL = 10;
+    private static final int LONG_IDLE_MILLIS = 300;
+    private static final int SHORT_IDLE_MILLIS = 6;
 
     private final String name;
-    private final SoakJudge judge;
+    private final SoakChecker checker;
     private final int port;
-    private final Kind kind;
+    private final Disconnects disconnects;
     private final BooleanSupplier mayConnect;
     private final RandomGenerator random;
     private volatile boolean stopped;
@@ -54,15 +54,15 @@
      */
     SoakClient(
             String name,
-            SoakJudge judge,
+            SoakChecker judge,
             int port,
-            Kind kind,
+            Disconnects kind,
             BooleanSupplier mayConnect,
             RandomGenerator random) {
         this.name = name;
-        this.judge = judge;
+        this.checker = judge;
         this.port = port;
-        this.kind = kind;
+        this.disconnects = kind;
         this.mayConnect = mayConnect;
         this.random = random;
     }
@@ -96,18 +96,18 @@
             long restedMillis = 0;
             boolean open = true;
             while (open && !stopped) {
-                open = exchange(socket, restedMillis) && kind != Kind.RECONNECTS;
-                restedMillis = open ? rest() : 0;
+                open = exchange(socket, restedMillis) && disconnects != Disconnects.AFTER_EACH_RESPONSE;
+                restedMillis = open ? idle() : 0;
             }
         } catch (IOException e) {
             // Refused, as between two processes.
         }
     }
 
-    private long rest() throws InterruptedException {
-        boolean isLong = random.nextInt(LONG_REST_INTERVAL) == 0;
+    private long idle() throws InterruptedException {
+        boolean isLong = random.nextInt(LONG_IDLE_INTERVAL) == 0;
         long sinceNanos = System.nanoTime();
-        Thread.sleep(random.nextInt(isLong ? LONG_REST_MILLIS : SHORT_REST_MILLIS));
+        Thread.sleep(random.nextInt(isLong ? LONG_IDLE_MILLIS : SHORT_IDLE_MILLIS));
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sinceNanos);
     }
 
@@ -117,28 +117,28 @@
         boolean isWrite = random.nextInt(WRITE_INTERVAL) == 0;
         String line = (isWrite ? "PUT /loan/" : "GET /view/") + random.nextInt(50);
         String headers = "X-Trace-Id: " + traceId + "\r\nX-Expires-In: " + TTL_MILLIS + "m\r\n";
-        judge.sent(traceId, !isWrite, TTL_MILLIS, restedMillis, System.nanoTime());
+        checker.sent(traceId, !isWrite, TTL_MILLIS, restedMillis, System.nanoTime());
         try {
             ProxyTestSupport.send(socket, line, headers, isWrite ? "v" : "");
-            if (kind == Kind.LEAVES && random.nextInt(LEAVE_INTERVAL) == 0) {
+            if (disconnects == Disconnects.BEFORE_SOME_RESPONSES && random.nextInt(DISCONNECT_INTERVAL) == 0) {
                 TimeUnit.MICROSECONDS.sleep(random.nextInt(3000));
                 socket.close();
-                judge.clientLeft(traceId, System.nanoTime());
+                checker.clientDisconnected(traceId, System.nanoTime());
                 return false;
             }
             String answer = ProxyTestSupport.readMessage(socket);
             if (answer == null) {
-                judge.closed(traceId, System.nanoTime());
+                checker.closed(traceId, System.nanoTime());
                 return false;
             }
-            judge.answered(traceId, System.nanoTime());
+            checker.answered(traceId, System.nanoTime());
             return !answer.contains("Connection: close");
         } catch (IOException e) {
-            judge.closed(traceId, System.nanoTime());
+            checker.closed(traceId, System.nanoTime());
             return false;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            judge.clientLeft(traceId, System.nanoTime());
+            checker.clientDisconnected(traceId, System.nanoTime());
             return false;
         }
     }
--- a/src/test/java/cairnbridge/proxy/StartTest.java
+++ b/src/test/java/cairnbridge/proxy/StartTest.java
@@ -14,12 +14,12 @@
  */
 class StartTest extends ProxyTestSupport {
     private static final int PROCESSES = 10;
-    private static final int IN_TIME = 9;
+    private static final int REQUIRED_READY = 9;
     private static final long READY_NANOS = 10_000_000_000L;
 
     @ParameterizedTest
     @ValueSource(strings = {"up", "refused", "hung", "returning"})
-    void nineInTenAreReadyWithinTenSeconds(String does) throws Exception {
+    void nineOfTenProcessesAreReadyWithinTenSeconds(String does) throws Exception {
         AtomicInteger calls = new AtomicInteger();
         discoveryHandler =
                 request ->
@@ -60,6 +60,6 @@
         for (Thread each : waiting) {
             each.join(Math.max(1, (READY_NANOS - (System.nanoTime() - started)) / 1_000_000));
         }
-        assertTrue(ready.get() >= IN_TIME, ready + " of " + PROCESSES + " were ready in 10 s");
+        assertTrue(ready.get() >= REQUIRED_READY, ready + " of " + PROCESSES + " were ready in 10 s");
     }
 }
--- a/src/test/java/cairnbridge/proxy/StatsNamesTest.java
+++ b/src/test/java/cairnbridge/proxy/StatsNamesTest.java
@@ -32,7 +32,7 @@
             folder = "store"
             """;
 
-    private ProxyServer member() throws Exception {
+    private ProxyServer startMember() throws Exception {
         Files.writeString(folder.resolve("secret"), "sixteen bytes or more");
         Path fleet = folder.resolve("fleet.toml");
         Files.writeString(fleet, FLEET.formatted(folder.resolve("zones.state")));
@@ -60,12 +60,12 @@
     }
 
     @Test
-    void allMetricsHaveTheNamesAndTypesOfAnEarlierVersion() throws Exception {
+    void metricNamesAndTypesMatchTheRecordedOnes() throws Exception {
         extraConfig = "\"admin_addr\":\"127.0.0.1:0\",";
         discovery = new StandInServer(request -> QUIET);
 
         List<String> names =
-                stats(member().adminAddress())
+                stats(startMember().adminAddress())
                         .lines()
                         .filter(line -> line.startsWith("lb."))
                         .map(line -> line.replaceFirst(":[^|]*\\|", "|"))
--- a/src/test/java/cairnbridge/proxy/WarmupTest.java
+++ b/src/test/java/cairnbridge/proxy/WarmupTest.java
@@ -12,7 +12,7 @@
 
     /** Guards against clients whose connections end early, as the warm-up's count among theirs. */
     @Test
-    void itsConnectionsAreClosedOnceTheProxyIsReady() throws Exception {
+    void warmUpConnectionsAreClosedOnceTheProxyIsReady() throws Exception {
         start();
         long deadlineNanos =
                 System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(CLOSED_WITHIN_MILLIS);
