--- a/src/test/java/cairnbridge/proxy/ClassDataArchiveTest.java
+++ b/src/test/java/cairnbridge/proxy/ClassDataArchiveTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Whether a start says that it goes without the class data sharing archive it was to use. */
+/** The log line of a start that cannot use the class data sharing archive named in its options. */
 class ClassDataArchiveTest {
     private static final long JAR_MILLIS = 1_700_000_000_000L;
 
@@ -85,7 +85,9 @@
         assertFalse(runServe("-Xmx32m").contains("class data"));
     }
 
-    /** The log of a start that ends at once, as no configuration is set. */
+    /**
+     * Runs {@code serve}, which exits at once because no configuration is set, and returns its log.
+     */
     private static String runServe(String option) throws IOException, InterruptedException {
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
--- a/src/test/java/cairnbridge/proxy/CloseRaceTest.java
+++ b/src/test/java/cairnbridge/proxy/CloseRaceTest.java
@@ -20,16 +20,22 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Ends that cross something which is still owed, each forced by a latch or by held-back bytes. */
+/**
+ * Connections and processes that close while a connect, a request or a response is pending. Latches
+ * and withheld bytes force the order of events.
+ */
 class CloseRaceTest extends ProxyTestSupport {
-    /** A node whose connections do not come up until it takes what fills its queue. */
+    /**
+     * A node whose accept backlog is full: further connects hang until it accepts the queued
+     * connections.
+     */
     private final class FullBacklogNode implements AutoCloseable {
         final ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         final List<Socket> fillers = new ArrayList<>();
 
         FullBacklogNode() throws IOException {
             opened.add(this);
-            // Linux takes one more than the backlog says; further ones hang in their dial.
+            // Linux queues one connection more than the backlog; further connects hang.
             for (int i = 0; i < 2; i++) {
                 fillers.add(new Socket(server.getInetAddress(), server.getLocalPort()));
             }
@@ -39,17 +45,21 @@
             return "127.0.0.1:" + server.getLocalPort();
         }
 
-        /** The first byte that comes on what has waited, or under 0 where it ends without one. */
+        /**
+         * Drains the backlog, accepts the pending connection and reads its first byte. Returns -1
+         * if it closes without sending a byte or never connects.
+         */
         int acceptAndReadFirstByte() throws IOException {
             for (int i = 0; i < fillers.size(); i++) {
                 server.accept();
             }
-            server.setSoTimeout(4000); // The system dials again after one second and after three.
-            try (Socket waited = server.accept()) {
-                waited.setSoTimeout(1000);
-                return waited.getInputStream().read();
+            server.setSoTimeout(
+                    4000); // The kernel repeats the SYN after one and after three seconds.
+            try (Socket pending = server.accept()) {
+                pending.setSoTimeout(1000);
+                return pending.getInputStream().read();
             } catch (IOException e) {
-                return -1; // Given up before it came up, or reset as it did.
+                return -1; // Cancelled before it was established, or reset afterwards.
             }
         }
 
@@ -63,19 +73,20 @@
     }
 
     /**
-     * Starts with a cache that does not answer its dial, an op on its way there, and a list to
-     * come.
+     * Starts the proxy with a request whose attempt is connecting to a cache with a full backlog.
+     * Discovery sends a list with the given state of that cache once {@code change} is released.
      */
-    private FullBacklogNode startWithPendingConnect(Socket[] client, CountDownLatch change, String state) throws Exception {
+    private FullBacklogNode startWithPendingConnect(
+            Socket[] client, CountDownLatch change, String state) throws Exception {
         connectSeconds = 5;
-        FullBacklogNode late = new FullBacklogNode();
+        FullBacklogNode node = new FullBacklogNode();
         cache = new StandInServer(request -> HIT);
         origin = new StandInServer(request -> "200 OK||fetched");
-        String told =
+        String update =
                 endpointListJson(
                                 2,
                                 false,
-                                endpointJson("late", late.address(), "cache", state),
+                                endpointJson("late", node.address(), "cache", state),
                                 endpointJson("c", cache.address(), "cache", "Ready"))
                         + "\n";
         discovery =
@@ -90,9 +101,9 @@
                             out.write("1\r\n\n\r\n".getBytes());
                         }
                         out.write(
-                                (Integer.toHexString(told.length()) + "\r\n" + told + "\r\n")
+                                (Integer.toHexString(update.length()) + "\r\n" + update + "\r\n")
                                         .getBytes());
-                        readMessage(socket); // Until the other side ends it.
+                        readMessage(socket); // Until the proxy closes the connection.
                         return null;
                     }
                 };
@@ -101,19 +112,22 @@
                         endpointListJson(
                                 1,
                                 true,
-                                endpointJson("late", late.address(), "cache", "Ready"),
+                                endpointJson("late", node.address(), "cache", "Ready"),
                                 endpointJson("o", origin.address(), "origin", "Ready")));
-        int held = proxy.openDescriptors();
+        int descriptorsBefore = proxy.openDescriptors();
         client[0] = connectClient();
-        send(client[0], "GET /view/1", ttlHeader(4000), ""); // Less than the dial may take.
+        send(client[0], "GET /view/1", ttlHeader(4000), ""); // Less than the connect timeout.
         waitUntil(
-                () -> proxy.openDescriptors() >= held + 2); // The client's, and the dial under way.
-        return late;
+                () ->
+                        proxy.openDescriptors()
+                                >= descriptorsBefore
+                                        + 2); // The client's connection and the pending connect.
+        return node;
     }
 
     /**
-     * Guards against a send after the word that nothing new may go there, as the connection comes
-     * up.
+     * Guards against sending an attempt on a connection that is established after discovery has
+     * listed its node as terminating or gone.
      */
     @ParameterizedTest
     @ValueSource(strings = {"Terminating", "Gone"})
@@ -121,25 +135,30 @@
             throws Exception {
         Socket[] client = new Socket[1];
         CountDownLatch change = new CountDownLatch(1);
-        FullBacklogNode late = startWithPendingConnect(client, change, state);
+        FullBacklogNode node = startWithPendingConnect(client, change, state);
         change.countDown();
-        assertEquals(200, statusCode(readMessage(client[0])), "another node takes it at once");
+        assertEquals(
+                200, statusCode(readMessage(client[0])), "another node serves the request at once");
         assertEquals(1, cache.requests.size());
-        assertEquals(-1, late.acceptAndReadFirstByte());
+        assertEquals(-1, node.acceptAndReadFirstByte());
     }
 
-    /** Guards against an attempt for nobody, begun as its connection comes up. */
+    /**
+     * Guards against sending an attempt on a newly established connection after its client has
+     * disconnected.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"close", "reset"})
-    void anAttemptPendingOnConnectIsCancelledWhenItsClientDisconnects(String end) throws Exception {
+    void anAttemptPendingOnConnectIsCancelledWhenItsClientDisconnects(String closeKind)
+            throws Exception {
         Socket[] client = new Socket[1];
-        FullBacklogNode late = startWithPendingConnect(client, new CountDownLatch(1), "Ready");
-        disconnect(client[0], end);
-        assertEquals(-1, late.acceptAndReadFirstByte());
+        FullBacklogNode node = startWithPendingConnect(client, new CountDownLatch(1), "Ready");
+        disconnect(client[0], closeKind);
+        assertEquals(-1, node.acceptAndReadFirstByte());
     }
 
-    private static void disconnect(Socket client, String end) throws IOException {
-        switch (end) {
+    private static void disconnect(Socket client, String closeKind) throws IOException {
+        switch (closeKind) {
             case "half" -> client.shutdownOutput();
             case "reset" -> {
                 client.setSoLinger(true, 0);
@@ -150,7 +169,8 @@
     }
 
     /**
-     * By the page who closes has gone; a half-close looks the same from here, and counts as that.
+     * By the specification, a client that closes its connection has abandoned its request. The
+     * proxy cannot tell a half-close from a close and treats both alike.
      */
     @ParameterizedTest
     @CsvSource({
@@ -167,19 +187,20 @@
         "half, 600000",
         "reset, 600000"
     })
-    void aClientsDisconnectIsDetectedBehindUnreadBytes(String end, int junk) throws Exception {
+    void aClientsDisconnectIsDetectedBehindUnreadBytes(String closeKind, int unreadBytes)
+            throws Exception {
         cacheHandler = request -> SILENT;
         start();
-        Socket leaving = connectClient();
-        send(leaving, "GET /view/1", ttlHeader(60_000), "");
+        Socket client = connectClient();
+        send(client, "GET /view/1", ttlHeader(60_000), "");
         waitUntil(() -> cache.requests.size() == 1);
-        leaving.getOutputStream()
+        client.getOutputStream()
                 .write(
                         "GET /view/2 HTTP/1.1\r\n"
-                                .repeat(junk / 22 + 1)
-                                .substring(0, junk)
+                                .repeat(unreadBytes / 22 + 1)
+                                .substring(0, unreadBytes)
                                 .getBytes(StandardCharsets.ISO_8859_1));
-        disconnect(leaving, end);
+        disconnect(client, closeKind);
         waitUntil(() -> cache.endedConnections.get() == 1);
     }
 
@@ -187,14 +208,17 @@
     void aClientsDisconnectIsDetectedWhileAResponseIsStreamed() throws Exception {
         cacheHandler = request -> "HTTP/1.1 200 OK;Content-Length: 9000000;;" + "x".repeat(100_000);
         start();
-        Socket leaving = connectClient();
-        send(leaving, "GET /view/1", ttlHeader(60_000), "");
-        assertEquals('H', leaving.getInputStream().read());
-        disconnect(leaving, "close");
+        Socket client = connectClient();
+        send(client, "GET /view/1", ttlHeader(60_000), "");
+        assertEquals('H', client.getInputStream().read());
+        disconnect(client, "close");
         waitUntil(() -> cache.endedConnections.get() == 1);
     }
 
-    /** Guards against a reset, for unread bytes, that takes the last answer with it. */
+    /**
+     * Guards against closing a socket with unread bytes: the kernel then sends a reset, and the
+     * client may lose the last response.
+     */
     @Test
     void theLastResponseArrivesWholeAndWithoutAResetDespiteUnreadClientBytes() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
@@ -204,48 +228,47 @@
                     return HIT;
                 };
         start();
-        Socket rude = connectClient();
-        send(rude, "GET /view/1", ttlHeader(9000), "");
+        Socket client = connectClient();
+        send(client, "GET /view/1", ttlHeader(9000), "");
         waitUntil(() -> cache.requests.size() == 1);
         daemon(
                 () -> {
-                    byte[] more =
+                    byte[] extraBytes =
                             "GET /view/2 HTTP/1.1\r\n"
                                     .repeat(1000)
                                     .getBytes(StandardCharsets.ISO_8859_1);
                     for (int i = 0; i < 40; i++) {
-                        rude.getOutputStream().write(more);
+                        client.getOutputStream().write(extraBytes);
                         answer.countDown();
                     }
                     return null;
                 });
-        assertEquals("kept", bodyOf(readMessage(rude)));
-        assertEquals(400, statusCode(readMessage(rude)));
-        assertEquals(-1, rude.getInputStream().read(), "ended, not reset");
+        assertEquals("kept", bodyOf(readMessage(client)));
+        assertEquals(400, statusCode(readMessage(client)));
+        assertEquals(-1, client.getInputStream().read(), "ended, not reset");
         assertEquals(1, cache.requests.size());
     }
 
     /**
-     * Guards against an op with more patience than the platform has: it is answered before the
-     * process ends.
+     * Guards against a request whose TTL is longer than the time between SIGTERM and SIGKILL: it
+     * must be answered before the process exits.
      */
     @Test
-    void anInFlightRequestWithALongTtlIsAnsweredBeforeTheShutdownEnds()
-            throws Exception {
+    void anInFlightRequestWithALongTtlIsAnsweredBeforeTheShutdownEnds() throws Exception {
         cacheHandler = request -> SILENT;
         start();
-        Socket patient = connectClient();
-        send(patient, "GET /view/1", ttlHeader(60_000), "");
+        Socket client = connectClient();
+        send(client, "GET /view/1", ttlHeader(60_000), "");
         waitUntil(() -> cache.requests.size() == 1);
-        long told = System.nanoTime();
+        long drainStartNanos = System.nanoTime();
         Thread drain =
                 daemon(
                         () -> {
                             proxy.drain();
                             return null;
                         });
-        String answer = readMessage(patient);
-        long millis = (System.nanoTime() - told) / 1_000_000;
+        String answer = readMessage(client);
+        long millis = (System.nanoTime() - drainStartNanos) / 1_000_000;
         assertNotNull(answer);
         assertEquals(503, statusCode(answer));
         assertTrue(millis <= TimeBudget.shutdownEndMillis(1000), "answered after " + millis);
@@ -253,12 +276,12 @@
     }
 
     /**
-     * Whatever else it is told meanwhile, and if its start is not over: it answers, and ends by
-     * itself in time.
+     * Guards against signals during a shutdown that delay it or drop requests: the process must
+     * answer its request and exit by itself in time.
      */
     @ParameterizedTest
     @ValueSource(strings = {"", "TERM", "HUP", "HUP TERM HUP"})
-    void furtherSignalsDoNotAffectAGracefulShutdown(String more) throws Exception {
+    void furtherSignalsDoNotAffectAGracefulShutdown(String signals) throws Exception {
         cacheHandler = request -> SILENT;
         start();
         Process process = startProcess();
@@ -268,28 +291,31 @@
         send(client, "GET /view/1", ttlHeader(60_000), "");
         waitUntil(() -> cache.requests.size() == 1);
         sendSignal(process, "TERM");
-        long told = System.nanoTime();
-        for (String each : more.isEmpty() ? new String[0] : more.split(" ")) {
+        long signalNanos = System.nanoTime();
+        for (String each : signals.isEmpty() ? new String[0] : signals.split(" ")) {
             sendSignal(process, each);
         }
         assertEquals(503, statusCode(readMessage(client)));
-        long millis = (System.nanoTime() - told) / 1_000_000;
+        long millis = (System.nanoTime() - signalNanos) / 1_000_000;
         assertTrue(millis <= 1000 + TimeBudget.KILL_MARGIN_MILLIS, "answered after " + millis);
         assertEquals(-1, client.getInputStream().read(), "ended, not reset");
-        process.waitFor(); // By itself; nothing is owed any more, so that a SIGKILL would find
-        // nothing.
+        process.waitFor(); // It exits by itself, with no request left that a SIGKILL could cut off.
     }
 
     @Test
     void aProxyTerminatedDuringItsStartExitsByItself() throws Exception {
         start();
         Process process = startProcess();
-        waitUntil(() -> discovery.requests.size() >= 2); // It calls for its list, and warms up.
+        waitUntil(
+                () -> discovery.requests.size() >= 2); // It fetches its endpoint list and warms up.
         sendSignal(process, "TERM");
         process.waitFor();
     }
 
-    /** Guards against an answer that seems whole because nothing says how long it is. */
+    /**
+     * Guards against taking a truncated response for a whole one, also where no header gives its
+     * length.
+     */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -300,7 +326,7 @@
             })
     void aResponseCutOffByAResetIsNotASuccess(String head) throws Exception {
         start();
-        StandInServer cut =
+        StandInServer resetting =
                 new StandInServer(request -> HIT) {
                     @Override
                     Void serve(Socket socket) throws IOException {
@@ -318,36 +344,38 @@
                         endpointListJson(
                                 1,
                                 true,
-                                endpointJson("cut", cut.address(), "cache", "Ready"),
-                                endpointJson("o", cut.address(), "origin", "Ready")));
+                                endpointJson("cut", resetting.address(), "cache", "Ready"),
+                                endpointJson("o", resetting.address(), "origin", "Ready")));
         assertEquals(
                 502,
                 statusCode(sendRequest("PUT /loan/1", ttlHeader(900), "v")),
-                "it may have run: no nack");
-        assertEquals(1, cut.requests.size());
-        String read1 = sendRequest("GET /view/1", ttlHeader(900), "");
-        assertTrue(statusCode(read1) != 200, read1);
+                "the write may have run, so the proxy must not report it as rejected");
+        assertEquals(1, resetting.requests.size());
+        String readResponse = sendRequest("GET /view/1", ttlHeader(900), "");
+        assertTrue(statusCode(readResponse) != 200, readResponse);
     }
 
     /**
-     * Guards against a connection reset by a close over what crosses it: the client sees a plain
-     * end.
+     * Guards against a reset of a client connection whose next request arrives while the proxy
+     * closes it: the client must see an orderly close.
      */
     @Test
-    void aRequestSentDuringAGracefulCloseIsNotForwardedAndItsConnectionIsNotReset() throws Exception {
+    void aRequestSentDuringAGracefulCloseIsNotForwardedAndItsConnectionIsNotReset()
+            throws Exception {
         start();
-        Socket resting = connectClient();
-        send(resting, "GET /view/1", ttlHeader(900), "");
-        assertEquals(200, statusCode(readMessage(resting)));
+        Socket idle = connectClient();
+        send(idle, "GET /view/1", ttlHeader(900), "");
+        assertEquals(200, statusCode(readMessage(idle)));
         proxy.finishClients();
-        assertEquals(-1, resting.getInputStream().read());
-        // Our side has ended, its socket has not: what comes now has crossed the close.
-        send(resting, "GET /view/crossed", ttlHeader(900), "");
-        resting.getOutputStream().write(new byte[20_000]);
-        assertEquals(-1, resting.getInputStream().read());
-        int held = proxy.openDescriptors();
-        resting.close();
-        waitUntil(() -> proxy.openDescriptors() < held);
+        assertEquals(-1, idle.getInputStream().read());
+        // The proxy has shut down its output but not closed the socket, so these bytes race with
+        // the close.
+        send(idle, "GET /view/crossed", ttlHeader(900), "");
+        idle.getOutputStream().write(new byte[20_000]);
+        assertEquals(-1, idle.getInputStream().read());
+        int descriptorsBefore = proxy.openDescriptors();
+        idle.close();
+        waitUntil(() -> proxy.openDescriptors() < descriptorsBefore);
         assertEquals(1, cache.requests.size());
     }
 }
--- a/src/test/java/cairnbridge/proxy/DiscoveryTest.java
+++ b/src/test/java/cairnbridge/proxy/DiscoveryTest.java
@@ -23,8 +23,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A change is in hand within the time in which it counts as told, whatever became of the calls
- * before.
+ * The proxy uses a change of the endpoint list within {@link TimeBudget#NOTIFIED_MILLIS}, whatever
+ * happened to earlier discovery calls.
  */
 class DiscoveryTest extends ProxyTestSupport {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -33,12 +33,15 @@
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    /** What discovery does with each call in turn; the last stays. */
+    /**
+     * How discovery handles one call. The first handler serves the first call, and so on; the last
+     * one serves all further calls.
+     */
     private interface CallHandler {
         void handle(Socket socket, OutputStream out) throws IOException, InterruptedException;
     }
 
-    private StandInServer discoveryServer(CallHandler... turns) throws IOException {
+    private StandInServer discoveryServer(CallHandler... handlers) throws IOException {
         AtomicInteger calls = new AtomicInteger();
         return new StandInServer(request -> "") {
             @Override
@@ -46,7 +49,7 @@
                 String request = readMessage(socket);
                 if (request != null) {
                     requests.add(request);
-                    turns[Math.min(calls.getAndIncrement(), turns.length - 1)].handle(
+                    handlers[Math.min(calls.getAndIncrement(), handlers.length - 1)].handle(
                             socket, socket.getOutputStream());
                 }
                 return null;
@@ -55,7 +58,7 @@
     }
 
     private static void holdOpen(Socket socket, OutputStream out) throws IOException {
-        readMessage(socket); // Until the other side ends it.
+        readMessage(socket); // Until the proxy closes the connection.
     }
 
     private static void reset(Socket socket, OutputStream out) throws IOException {
@@ -63,17 +66,17 @@
         socket.close();
     }
 
-    private void startWithDiscovery(StandInServer at) throws Exception {
+    private void startWithDiscovery(StandInServer discoveryStub) throws Exception {
         cache = new StandInServer(request -> HIT);
         origin = new StandInServer(request -> "200 OK||fetched");
-        discovery = at;
+        discovery = discoveryStub;
         proxy =
                 startServer(
                         endpointListJson(
                                 1, true, endpointJson("o", origin.address(), "origin", "Ready")));
     }
 
-    /** A list that names the cache; it is in use once a read is answered by that. */
+    /** A list update that adds the cache. It is in use once the cache has answered a read. */
     private String cacheAdded(int version) {
         return endpointListJson(
                 version, false, endpointJson("c", cache.address(), "cache", "Ready"));
@@ -91,17 +94,20 @@
     }
 
     /**
-     * What discovery has counts as told from a process's first moment: nothing goes by an older
-     * list.
+     * Guards against routing by an outdated list during the start: discovery's list counts as
+     * notified as soon as the process runs.
      */
     @Test
     void aStartingProxySendsNothingByItsConfiguredListBeforeDiscoveryAnswers() throws Exception {
-        StandInServer gone = new StandInServer(request -> HIT);
-        AtomicInteger tries = new AtomicInteger();
+        StandInServer terminating = new StandInServer(request -> HIT);
+        AtomicInteger requestsSent = new AtomicInteger();
         startWithDiscovery(
                 discoveryServer(
                         (socket, out) -> {
-                            waitUntil(() -> tries.get() >= 30); // Clients come all the while.
+                            waitUntil(
+                                    () ->
+                                            requestsSent.get()
+                                                    >= 30); // Clients send requests all this time.
                             respond(
                                     out,
                                     endpointListJson(
@@ -111,7 +117,7 @@
                                                             "c", cache.address(), "cache", "Ready"),
                                                     endpointJson(
                                                             "gone",
-                                                            gone.address(),
+                                                            terminating.address(),
                                                             "cache",
                                                             "Terminating"))
                                             + "\n");
@@ -124,7 +130,7 @@
         Thread clients =
                 daemon(
                         () -> {
-                            for (int code = 0; code != 200; tries.incrementAndGet()) {
+                            for (int code = 0; code != 200; requestsSent.incrementAndGet()) {
                                 code = readStatus(port);
                             }
                             return null;
@@ -134,32 +140,36 @@
                         endpointListJson(
                                 1,
                                 true,
-                                endpointJson("gone", gone.address(), "cache", "Ready"),
+                                endpointJson("gone", terminating.address(), "cache", "Ready"),
                                 endpointJson("o", origin.address(), "origin", "Ready")));
         clients.join();
-        assertEquals(List.of(), gone.requests);
+        assertEquals(List.of(), terminating.requests);
         assertEquals(1, cache.requests.size());
     }
 
-    /** Calls fail in every way, the wait has grown, and the last hangs as discovery comes back. */
+    /**
+     * Guards against a late update after an outage: calls fail in every way, the backoff has grown,
+     * and the last call hangs as discovery recovers.
+     */
     @Test
     void anUpdateArrivesInTimeAfterCallsThatFailInEveryWay() throws Exception {
-        AtomicLong back = new AtomicLong();
+        AtomicLong recoveredAt = new AtomicLong();
         CallHandler failing = DiscoveryTest::reset;
-        CallHandler down = (socket, out) -> out.write("HTTP/1.1 503 Down\r\n\r\n".getBytes());
-        CallHandler cut = (socket, out) -> respond(out, "{\"rev\":1,\"all\":fal");
+        CallHandler unavailable =
+                (socket, out) -> out.write("HTTP/1.1 503 Down\r\n\r\n".getBytes());
+        CallHandler truncated = (socket, out) -> respond(out, "{\"rev\":1,\"all\":fal");
         startWithDiscovery(
                 discoveryServer(
                         failing,
-                        down,
+                        unavailable,
                         failing,
-                        cut,
+                        truncated,
                         failing,
                         failing,
                         failing,
                         (socket, out) -> {
-                            back.set(System.nanoTime()); // From here on discovery would answer;
-                            // this call hangs on.
+                            recoveredAt.set(System.nanoTime()); // From now on discovery answers new
+                            // calls, but this call still hangs.
                             holdOpen(socket, out);
                         },
                         failing,
@@ -168,25 +178,28 @@
                             holdOpen(socket, out);
                         }));
         awaitCacheInUse();
-        long millis = (System.nanoTime() - back.get()) / 1_000_000;
+        long millis = (System.nanoTime() - recoveredAt.get()) / 1_000_000;
         assertTrue(
                 millis <= TimeBudget.NOTIFIED_MILLIS - TimeBudget.NOTIFIED_SLACK_MILLIS / 2,
-                "in hand after " + millis);
+                "notified after " + millis);
     }
 
-    /** Guards against a watch that is open and dead, whatever it brought last. */
+    /**
+     * Guards against a watch whose connection stays open but delivers nothing more, whatever its
+     * last bytes were.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"", "\n", "{\"rev\":1,\"all\":false,\"targets\":[]}\n", "{\"rev\":"})
-    void anUpdateMissedByASilentWatchArrivesInTime(String last) throws Exception {
-        AtomicLong silent = new AtomicLong();
+    void anUpdateMissedByASilentWatchArrivesInTime(String lastBytes) throws Exception {
+        AtomicLong silentSince = new AtomicLong();
         startWithDiscovery(
                 discoveryServer(
                         (socket, out) -> {
                             out.write(HEAD.getBytes(StandardCharsets.ISO_8859_1));
-                            if (!last.isEmpty()) {
-                                out.write(chunk(last).getBytes(StandardCharsets.ISO_8859_1));
+                            if (!lastBytes.isEmpty()) {
+                                out.write(chunk(lastBytes).getBytes(StandardCharsets.ISO_8859_1));
                             }
-                            silent.set(System.nanoTime());
+                            silentSince.set(System.nanoTime());
                             holdOpen(socket, out);
                         },
                         (socket, out) -> {
@@ -194,14 +207,15 @@
                             holdOpen(socket, out);
                         }));
         awaitCacheInUse();
-        long millis = (System.nanoTime() - silent.get()) / 1_000_000;
+        long millis = (System.nanoTime() - silentSince.get()) / 1_000_000;
         assertTrue(
                 millis <= TimeBudget.NOTIFIED_MILLIS - TimeBudget.NOTIFIED_SLACK_MILLIS,
-                "in hand after " + millis);
+                "notified after " + millis);
     }
 
     /**
-     * Guards against a change that is missed for good, as what comes behind it says nothing of it.
+     * Guards against losing a change for ever: lines after an unusable one do not repeat what it
+     * contained.
      */
     @Test
     void anUnusableLineCausesARequestForTheWholeList() throws Exception {
@@ -235,7 +249,8 @@
     }
 
     /**
-     * Lists may come indented; words in quotes may hold braces, and a blank line is a heartbeat.
+     * Guards against splitting a list at line breaks or at braces within strings: discovery may
+     * indent its JSON, and a blank line is a heartbeat.
      */
     @Test
     void aListSpreadOverSeveralLinesIsParsedAsOneList() throws Exception {
@@ -256,7 +271,10 @@
         assertEquals(1, discovery.requests.size());
     }
 
-    /** Guards against half a line taken for a line, and one that is told only behind it. */
+    /**
+     * Guards against parsing half a line as a whole one, and against skipping its version when the
+     * watch is reopened.
+     */
     @Test
     void aWatchCutOffWithinALineResumesAfterTheLastWholeVersion() throws Exception {
         startWithDiscovery(
@@ -275,11 +293,14 @@
         assertTrue(discovery.requests.get(1).contains("after=1 "), discovery.requests.get(1));
     }
 
-    /** Where the list must be asked for, the module asks again in time as well. */
+    /**
+     * Guards against a late update in subscribe mode, where a subscription of 60 s must not
+     * postpone the next call after failed ones.
+     */
     @Test
     void anUpdateInSubscribeModeArrivesInTimeAfterFailedCalls() throws Exception {
         extraSettings = "\"registry-mode\":\"subscribe\",\"rules\":{\"ask-within-s\":60},";
-        AtomicLong back = new AtomicLong();
+        AtomicLong recoveredAt = new AtomicLong();
         CallHandler failing = DiscoveryTest::reset;
         startWithDiscovery(
                 discoveryServer(
@@ -287,7 +308,7 @@
                         failing,
                         failing,
                         (socket, out) -> {
-                            back.set(System.nanoTime());
+                            recoveredAt.set(System.nanoTime());
                             holdOpen(socket, out);
                         },
                         (socket, out) -> {
@@ -295,29 +316,29 @@
                             holdOpen(socket, out);
                         }));
         awaitCacheInUse();
-        long millis = (System.nanoTime() - back.get()) / 1_000_000;
+        long millis = (System.nanoTime() - recoveredAt.get()) / 1_000_000;
         assertTrue(
                 millis <= TimeBudget.NOTIFIED_MILLIS - TimeBudget.NOTIFIED_SLACK_MILLIS / 2,
-                "in hand after " + millis);
+                "notified after " + millis);
     }
 
     /**
-     * A real limit on the process: clients that say nothing hold all that it may, and discovery
-     * comes back.
+     * Guards against idle clients that use up all file descriptors, under a real limit of the
+     * process, so that no descriptor is left for discovery when it recovers.
      */
     @Test
     void idleClientsThatFillTheDescriptorsDoNotKeepTheListAway() throws Exception {
         maxSockets = 96;
-        CountDownLatch up = new CountDownLatch(1);
-        AtomicLong told = new AtomicLong();
+        CountDownLatch discoveryUp = new CountDownLatch(1);
+        AtomicLong updateSentAt = new AtomicLong();
         startWithDiscovery(
                 discoveryServer(
                         (socket, out) -> {
-                            if (up.getCount() > 0) {
+                            if (discoveryUp.getCount() > 0) {
                                 reset(socket, out);
                             } else {
                                 respond(out, cacheAdded(2) + "\n");
-                                told.compareAndSet(0, System.nanoTime());
+                                updateSentAt.compareAndSet(0, System.nanoTime());
                                 holdOpen(socket, out);
                             }
                         }));
@@ -329,30 +350,33 @@
                         endpointJson("c", cache.address(), "cache", "Ready"),
                         endpointJson("o", origin.address(), "origin", "Ready")),
                 discovery.address());
-        String classes = System.getProperty("java.class.path");
-        // The program is one file; here each of its libraries is one, and is held open.
-        long limit = maxSockets + classes.split(File.pathSeparator).length;
+        String classPath = System.getProperty("java.class.path");
+        // The shipped program is one file; in the test each library on the class path is a file of
+        // its own that stays open.
+        long limit = maxSockets + classPath.split(File.pathSeparator).length;
         Process process = startProcessAfter("ulimit -n " + limit);
         BufferedReader log = logOf(process);
         int port = portFromLog(log);
         daemon(
                 () -> {
                     while (log.readLine() != null) {
-                        Thread.onSpinWait(); // Its log is taken, so that it never waits for that.
+                        Thread.onSpinWait(); // Drains the log, so that the process never blocks
+                        // on writing it.
                     }
                     return null;
                 });
-        List<Socket> idle = new ArrayList<>();
-        Thread crowd =
+        List<Socket> sockets = new ArrayList<>();
+        Thread idleClients =
                 daemon(
                         () -> {
                             while (true) {
-                                // More than the process may hold, opened anew as it ends them.
-                                idle.removeIf(Socket::isClosed);
-                                for (int i = idle.size(); i < 150; i++) {
-                                    idle.add(new Socket(InetAddress.getLoopbackAddress(), port));
+                                // More connections than the process may hold, reopened as it closes
+                                // them.
+                                sockets.removeIf(Socket::isClosed);
+                                for (int i = sockets.size(); i < 150; i++) {
+                                    sockets.add(new Socket(InetAddress.getLoopbackAddress(), port));
                                 }
-                                for (Socket each : idle) {
+                                for (Socket each : sockets) {
                                     each.setSoTimeout(1);
                                     try {
                                         if (each.getInputStream().read() < 0) {
@@ -366,24 +390,24 @@
                                 }
                             }
                         });
-        waitUntil(() -> idle.size() >= 150);
+        waitUntil(() -> sockets.size() >= 150);
         int calls = discovery.requests.size();
         waitUntil(() -> discovery.requests.size() >= calls + 3);
-        long back = System.nanoTime();
-        up.countDown();
-        waitUntil(() -> told.get() > 0);
-        long millis = (told.get() - back) / 1_000_000;
-        assertTrue(millis <= TimeBudget.NOTIFIED_MILLIS, "the watch is back after " + millis);
+        long recoveredAt = System.nanoTime();
+        discoveryUp.countDown();
+        waitUntil(() -> updateSentAt.get() > 0);
+        long millis = (updateSentAt.get() - recoveredAt) / 1_000_000;
+        assertTrue(millis <= TimeBudget.NOTIFIED_MILLIS, "the watch is open again after " + millis);
         int code = 0;
         while (code == 0) {
             code = readStatus(port);
         }
-        assertEquals(200, code, "what is taken finds a descriptor for its node");
+        assertEquals(200, code, "an accepted request gets a descriptor for its node");
         assertEquals(1, cache.requests.size());
-        assertTrue(crowd.isAlive(), "the crowd has stayed");
+        assertTrue(idleClients.isAlive(), "the idle clients keep reconnecting");
     }
 
-    /** The answer's code, or 0 where one of the crowd was faster. */
+    /** The status code, or 0 if an idle client took the free descriptor first. */
     private int readStatus(int port) throws IOException {
         try (Socket client = new Socket(InetAddress.getLoopbackAddress(), port)) {
             client.setSoTimeout(500);
--- a/src/test/java/cairnbridge/proxy/OperatorsTest.java
+++ b/src/test/java/cairnbridge/proxy/OperatorsTest.java
@@ -28,32 +28,32 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What staff call and what the proxy then does, on real sockets. */
+/** Commands of the admin endpoint and their effect on the proxy, on real sockets. */
 class OperatorsTest extends ProxyTestSupport {
     @BeforeEach
     void enableAdminServer() {
         extraConfig = "\"admin_addr\":\"127.0.0.1:0\",";
     }
 
-    private Socket connectAdmin(ProxyServer at) throws IOException {
-        InetSocketAddress door = at.adminAddress();
-        Socket caller = new Socket(door.getAddress(), door.getPort());
-        opened.add(caller);
-        return caller;
+    private Socket connectAdmin(ProxyServer server) throws IOException {
+        InetSocketAddress adminAddress = server.adminAddress();
+        Socket socket = new Socket(adminAddress.getAddress(), adminAddress.getPort());
+        opened.add(socket);
+        return socket;
     }
 
-    private String callAdmin(ProxyServer at, String line) throws IOException {
-        Socket caller = connectAdmin(at);
-        caller.getOutputStream().write((line + "\n").getBytes(StandardCharsets.ISO_8859_1));
-        return new String(caller.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
+    private String callAdmin(ProxyServer server, String command) throws IOException {
+        Socket socket = connectAdmin(server);
+        socket.getOutputStream().write((command + "\n").getBytes(StandardCharsets.ISO_8859_1));
+        return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
     }
 
-    private String callAdmin(String line) throws IOException {
-        return callAdmin(proxy, line);
+    private String callAdmin(String command) throws IOException {
+        return callAdmin(proxy, command);
     }
 
-    private boolean hasMetric(String figure) throws IOException {
-        return callAdmin("stats").contains("\nlb." + figure + "\n");
+    private boolean hasMetric(String metric) throws IOException {
+        return callAdmin("stats").contains("\nlb." + metric + "\n");
     }
 
     @Test
@@ -73,35 +73,40 @@
                 "maint-off nobody",
                 "STATUS"
             })
-    void unknownCommandsAndUnknownNodesAreRefused(String line) throws Exception {
+    void unknownCommandsAndUnknownNodesAreRefused(String command) throws Exception {
         start();
-        String answer = callAdmin(line);
-        assertEquals(line.startsWith("status") ? "200" : "400", answer.substring(0, 3), answer);
-        assertTrue(callAdmin("x".repeat(5000)).isEmpty() || callAdmin("x".repeat(600)).startsWith("400"));
+        String answer = callAdmin(command);
+        assertEquals(command.startsWith("status") ? "200" : "400", answer.substring(0, 3), answer);
+        assertTrue(
+                callAdmin("x".repeat(5000)).isEmpty()
+                        || callAdmin("x".repeat(600)).startsWith("400"));
         assertTrue(callAdmin("status").startsWith("200"));
     }
 
     /**
-     * Guards against a call of which a part is carried out, or that says yes to what is not kept.
+     * Guards against carrying out one of two commands sent at once, and against confirming a
+     * command whose marker file was not written.
      */
     @Test
     void twoCommandsAtOnceOrOneThatCannotBePersistedChangeNothing() throws Exception {
         start();
         assertEquals("400 one line to a connection\n", callAdmin("maint-on c\nmaint-off o"));
-        Path away = folder.resolveSibling(folder.getFileName() + "-away");
-        Files.move(folder, away);
+        Path movedFolder = folder.resolveSibling(folder.getFileName() + "-away");
+        Files.move(folder, movedFolder);
         assertEquals("400 cannot be kept, nothing has changed\n", callAdmin("maint-on c"));
-        Files.move(away, folder);
+        Files.move(movedFolder, folder);
         assertEquals(200, statusCode(sendRequest("GET /view/1", ttlHeader(800), "")));
         assertTrue(hasMetric("hosts_down:0|g"));
-        IOException taken =
+        IOException addressInUse =
                 assertThrows(
                         IOException.class,
                         () -> new AdminServer(proxy.adminAddress(), proxy, null));
-        assertTrue(taken.getMessage().startsWith("cannot listen on "), taken.getMessage());
+        assertTrue(
+                addressInUse.getMessage().startsWith("cannot listen on "),
+                addressInUse.getMessage());
     }
 
-    /** Guards against a node freed because its mark is not as this program writes it. */
+    /** Guards against releasing a node from maintenance because its marker file is damaged. */
     @Test
     void aDamagedMarkerFileKeepsItsNodeInMaintenanceAndUnknownFilesAreIgnored() throws Exception {
         Files.writeString(folder.resolve("hold-" + Long.toHexString(Fnv1a.hash("c"))), "\0half");
@@ -117,20 +122,22 @@
     void stalledAdminConnectionsDoNotDelayOtherCallers() throws Exception {
         start();
         for (int i = 0; i < 100; i++) {
-            connectAdmin(proxy).getOutputStream().write("stat".getBytes(StandardCharsets.ISO_8859_1));
+            connectAdmin(proxy)
+                    .getOutputStream()
+                    .write("stat".getBytes(StandardCharsets.ISO_8859_1));
         }
-        long called = System.nanoTime();
+        long startNanos = System.nanoTime();
         assertTrue(callAdmin("status").startsWith("200"));
-        assertTrue(System.nanoTime() - called < 1_000_000_000L);
+        assertTrue(System.nanoTime() - startNanos < 1_000_000_000L);
     }
 
     @Test
     void metricsCountEachRequestAndAttemptOnceAndNothingOfTheWarmUp() throws Exception {
-        CountDownLatch late = new CountDownLatch(1);
+        CountDownLatch slowResponse = new CountDownLatch(1);
         cacheHandler =
                 request -> {
                     if (request.contains("/slow")) {
-                        late.await();
+                        slowResponse.await();
                     }
                     return request.contains("/absent") ? MISS : HIT;
                 };
@@ -145,7 +152,7 @@
         send(slow, "GET /view/slow", ttlHeader(5000), "");
         waitUntil(() -> hasMetric("backend_calls:5|c"));
         assertTrue(hasMetric("inflight:1|g"));
-        late.countDown();
+        slowResponse.countDown();
         assertEquals(200, statusCode(readMessage(slow)));
         waitUntil(() -> hasMetric("inflight:0|g"));
         String stats = callAdmin("stats");
@@ -172,49 +179,52 @@
 
     @Test
     void aNodeInMaintenanceGetsNoRequestsWhateverTheListSaysUntilItIsReleased() throws Exception {
-        CountDownLatch change = new CountDownLatch(1);
-        StandInServer out = new StandInServer(request -> HIT);
+        CountDownLatch sendUpdate = new CountDownLatch(1);
+        StandInServer maintained = new StandInServer(request -> HIT);
         discoveryHandler =
                 request -> {
-                    change.await();
+                    sendUpdate.await();
                     return "200 OK||"
                             + endpointListJson(
-                                    2, false, endpointJson("out", out.address(), "cache", "Ready"))
+                                    2,
+                                    false,
+                                    endpointJson("out", maintained.address(), "cache", "Ready"))
                             + "\n";
                 };
-        start(endpointJson("out", out.address(), "cache", "Ready"));
-        for (int key = 0; out.requests.isEmpty(); key++) {
+        start(endpointJson("out", maintained.address(), "cache", "Ready"));
+        for (int key = 0; maintained.requests.isEmpty(); key++) {
             assertEquals(200, statusCode(sendRequest("GET /view/" + key, ttlHeader(800), "")));
         }
         assertTrue(
-                callAdmin("maint-on out").startsWith("200") && callAdmin("maint-on out").startsWith("200"));
-        waitUntil(() -> out.endedConnections.get() == out.connections.size());
+                callAdmin("maint-on out").startsWith("200")
+                        && callAdmin("maint-on out").startsWith("200"));
+        waitUntil(() -> maintained.endedConnections.get() == maintained.connections.size());
         waitUntil(() -> hasMetric("hosts_down:1|g"));
-        out.requests.clear();
-        change.countDown();
+        maintained.requests.clear();
+        sendUpdate.countDown();
         for (int key = 0; key < 40; key++) {
             assertEquals(200, statusCode(sendRequest("GET /view/" + key, ttlHeader(800), "")));
         }
-        assertTrue(out.requests.isEmpty());
+        assertTrue(maintained.requests.isEmpty());
         assertTrue(callAdmin("maint-off out").startsWith("200"));
-        for (int key = 0; out.requests.isEmpty(); key++) {
+        for (int key = 0; maintained.requests.isEmpty(); key++) {
             assertEquals(200, statusCode(sendRequest("GET /view/" + key, ttlHeader(800), "")));
         }
     }
 
     /**
-     * Guards against a hold that the younger of two processes refuses as it starts, and that then
-     * nobody has.
+     * Guards against losing a maintenance mark during a handover: a starting successor without a
+     * list must not refuse a node that is not listed yet.
      */
     @Test
     void maintenanceSetBeforeAnyListIsApplied() throws Exception {
         cache = new StandInServer(request -> cacheHandler.apply(request));
         origin = new StandInServer(request -> originHandler.apply(request));
         discovery = new StandInServer(request -> discoveryHandler.apply(request));
-        CountDownLatch change = new CountDownLatch(1);
+        CountDownLatch sendUpdate = new CountDownLatch(1);
         discoveryHandler =
                 request -> {
-                    change.await();
+                    sendUpdate.await();
                     return "200 OK||"
                             + endpointListJson(
                                     2, true, endpointJson("c", cache.address(), "cache", "Ready"))
@@ -222,7 +232,7 @@
                 };
         proxy = startServer(endpointListJson(1, true));
         assertTrue(callAdmin("maint-on c").startsWith("200"));
-        change.countDown();
+        sendUpdate.countDown();
         waitUntil(() -> hasMetric("hosts_listed:1|g"));
         assertEquals(503, statusCode(sendRequest("GET /view/1", ttlHeader(800), "")));
         assertTrue(cache.requests.isEmpty());
@@ -230,20 +240,20 @@
 
     @Test
     void maintenanceSurvivesARestartAndItsEndReachesOtherProcesses() throws Exception {
-        StandInServer out = new StandInServer(request -> HIT);
-        start(endpointJson("out", out.address(), "cache", "Ready"));
+        StandInServer maintained = new StandInServer(request -> HIT);
+        start(endpointJson("out", maintained.address(), "cache", "Ready"));
         assertTrue(callAdmin("maint-on out").startsWith("200"));
         proxy.stop();
-        String known =
+        String savedList =
                 endpointListJson(
                         1,
                         true,
-                        endpointJson("out", out.address(), "cache", "Ready"),
+                        endpointJson("out", maintained.address(), "cache", "Ready"),
                         endpointJson("o", origin.address(), "origin", "Ready"));
-        proxy = startServer(known);
+        proxy = startServer(savedList);
         assertEquals(503, statusCode(sendRequest("GET /view/1", ttlHeader(800), "")));
-        ProxyServer younger = startServer(known);
-        assertTrue(callAdmin(younger, "maint-off out").startsWith("200"));
+        ProxyServer other = startServer(savedList);
+        assertTrue(callAdmin(other, "maint-off out").startsWith("200"));
         waitUntil(() -> statusCode(sendRequest("GET /view/1", ttlHeader(800), "")) == 200);
         try (var files = Files.list(folder)) {
             assertEquals(
@@ -255,9 +265,7 @@
         }
     }
 
-    /**
-     * Guards against a new version that has to learn anew, under load, which node answers nothing.
-     */
+    /** Guards against a new version that must find out again, under load, which nodes fail. */
     @Test
     void aServingProcessWritesItsWarmStartFileForItsSuccessor() throws Exception {
         originHandler = request -> "500 Ill||";
@@ -266,20 +274,24 @@
         for (int i = 0; i < 20; i++) {
             sendRequest("GET /view/" + i, ttlHeader(800), "");
         }
-        Path kept = folder.resolve("learnt");
+        Path warmStartFile = folder.resolve("learnt");
         waitUntil(
                 () ->
-                        Files.exists(kept)
-                                && Files.readString(kept).matches(".*\"share\":0\\.[0-3].*"));
+                        Files.exists(warmStartFile)
+                                && Files.readString(warmStartFile)
+                                        .matches(".*\"share\":0\\.[0-3].*"));
     }
 
-    /** Guards against a start that fails and then waits, or complains of itself. */
+    /** Guards against a failed start that keeps the process running or logs a stack trace. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void anAddressInUseFailsTheStartWithOneLogLine(boolean door) throws Exception {
+    void anAddressInUseFailsTheStartWithOneLogLine(boolean adminAddressInUse) throws Exception {
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            port = door ? 0 : taken.getLocalPort();
-            extraConfig = "\"admin_addr\":\"127.0.0.1:" + (door ? taken.getLocalPort() : 0) + "\",";
+            port = adminAddressInUse ? 0 : taken.getLocalPort();
+            extraConfig =
+                    "\"admin_addr\":\"127.0.0.1:"
+                            + (adminAddressInUse ? taken.getLocalPort() : 0)
+                            + "\",";
             config(endpointListJson(1, true), "127.0.0.1:9");
             Process process = startProcess();
             List<String> lines =
@@ -294,27 +306,30 @@
         }
     }
 
-    /** Guards against two processes that each keep to the budget and together do not. */
+    /**
+     * Guards against two processes that each stay within the descriptor budget but together exceed
+     * it.
+     */
     @Test
     void descriptorsHeldByAnotherProcessCountAgainstTheBudget() throws Exception {
         maxSockets = 128;
-        long other = ProcessHandle.current().parent().orElseThrow().pid();
+        long otherProcessId = ProcessHandle.current().parent().orElseThrow().pid();
         start();
         assertEquals(200, statusCode(sendRequest("GET /view/1", ttlHeader(800), "")));
-        Path mark = folder.resolve("runs-" + other + "-1");
-        Files.writeString(mark, "128");
+        Path otherMarker = folder.resolve("runs-" + otherProcessId + "-1");
+        Files.writeString(otherMarker, "128");
         waitUntil(() -> !isServing());
         try (var files = Files.list(folder)) {
-            Path own =
+            Path ownMarker =
                     files.filter(
                                     file ->
                                             file.getFileName().toString().startsWith("runs-")
-                                                    && !file.equals(mark))
+                                                    && !file.equals(otherMarker))
                             .findFirst()
                             .orElseThrow();
-            waitUntil(() -> Integer.parseInt("0" + Files.readString(own)) > 0);
+            waitUntil(() -> Integer.parseInt("0" + Files.readString(ownMarker)) > 0);
         }
-        Files.delete(mark);
+        Files.delete(otherMarker);
         waitUntil(this::isServing);
     }
 
@@ -323,11 +338,14 @@
             String answer = sendRequest("GET /view/1", ttlHeader(800), "");
             return answer != null && statusCode(answer) == 200;
         } catch (IOException e) {
-            return false; // Refused at once.
+            return false; // Closed or reset at once, without a response.
         }
     }
 
-    /** Guards against clients that meet a closed door while one process takes another's place. */
+    /**
+     * Guards against refused or closed client connections while a successor replaces the running
+     * process.
+     */
     @Test
     void aSuccessorAtTheSameAddressTakesTheClientsOver() throws Exception {
         extraConfig = "";
@@ -338,54 +356,55 @@
         config(
                 endpointListJson(1, true, endpointJson("c", cache.address(), "cache", "Ready")),
                 discovery.address());
-        Process old = startProcess();
-        BufferedReader oldLog = logOf(old);
-        assertEquals(port, portFromLog(oldLog));
-        Socket kept = new Socket(InetAddress.getLoopbackAddress(), port);
-        opened.add(kept);
-        send(kept, "GET /view/1", ttlHeader(800).replace("9b1f", "1"), "");
-        assertFalse(readMessage(kept).contains("Connection: close"));
-        Process young = startProcess();
-        BufferedReader youngLog = logOf(young);
+        Process predecessor = startProcess();
+        BufferedReader predecessorLog = logOf(predecessor);
+        assertEquals(port, portFromLog(predecessorLog));
+        Socket persistent = new Socket(InetAddress.getLoopbackAddress(), port);
+        opened.add(persistent);
+        send(persistent, "GET /view/1", ttlHeader(800).replace("9b1f", "1"), "");
+        assertFalse(readMessage(persistent).contains("Connection: close"));
+        Process successor = startProcess();
+        BufferedReader successorLog = logOf(successor);
         AtomicInteger served = new AtomicInteger();
-        AtomicBoolean over = new AtomicBoolean();
-        List<String> turnedBack = new CopyOnWriteArrayList<>();
-        Thread asking =
+        AtomicBoolean stopped = new AtomicBoolean();
+        List<String> failures = new CopyOnWriteArrayList<>();
+        Thread clients =
                 daemon(
                         () -> {
-                            for (int i = 0; !over.get(); i++) {
-                                try (Socket each =
+                            for (int i = 0; !stopped.get(); i++) {
+                                try (Socket client =
                                         new Socket(InetAddress.getLoopbackAddress(), port)) {
                                     send(
-                                            each,
+                                            client,
                                             "GET /view/" + i,
                                             ttlHeader(800).replace("9b1f", "x" + i),
                                             "");
-                                    if (readMessage(each)
-                                            == null) { // A nack is an answer: the machine may be
-                                        // short of time.
-                                        turnedBack.add("request " + i + ": closed unread");
+                                    if (readMessage(client)
+                                            == null) { // A rejection counts as a response: the
+                                        // machine may be overloaded.
+                                        failures.add(
+                                                "request " + i + ": closed without a response");
                                     }
                                 } catch (IOException e) {
-                                    turnedBack.add("request " + i + ": " + e);
+                                    failures.add("request " + i + ": " + e);
                                 }
                                 served.incrementAndGet();
                             }
                             return null;
                         });
-        assertEquals(port, portFromLog(youngLog));
-        sendSignal(old, "TERM");
-        awaitLogLine(oldLog, "drains");
-        awaitLogLine(oldLog, "hands over to its successor");
-        send(kept, "GET /view/1", ttlHeader(800).replace("9b1f", "2"), "");
-        assertTrue(readMessage(kept).contains("Connection: close"));
-        awaitLogLine(oldLog, "stopped, 0 requests in flight, invariant violations: {}");
-        old.waitFor();
+        assertEquals(port, portFromLog(successorLog));
+        sendSignal(predecessor, "TERM");
+        awaitLogLine(predecessorLog, "drains");
+        awaitLogLine(predecessorLog, "hands over to its successor");
+        send(persistent, "GET /view/1", ttlHeader(800).replace("9b1f", "2"), "");
+        assertTrue(readMessage(persistent).contains("Connection: close"));
+        awaitLogLine(predecessorLog, "stopped, 0 requests in flight, invariant violations: {}");
+        predecessor.waitFor();
         int before = served.get();
         waitUntil(() -> served.get() > before + 20);
-        over.set(true);
-        asking.join();
-        assertEquals(List.of(), turnedBack, "of " + served);
+        stopped.set(true);
+        clients.join();
+        assertEquals(List.of(), failures, "of " + served);
     }
 
     @Test
--- a/src/test/java/cairnbridge/proxy/ReloadTest.java
+++ b/src/test/java/cairnbridge/proxy/ReloadTest.java
@@ -11,14 +11,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A new configuration counts in time, however the process was started. */
+/** A new configuration takes effect in time, also in a process that inherited an ignored SIGHUP. */
 class ReloadTest extends ProxyTestSupport {
     private static final int READS = 20;
 
     /**
-     * Guards against a process that was started with SIGHUP ignored, as below nohup, and never
-     * hears of a new configuration: it kept watching discovery's old address, and went on sending
-     * to nodes that drained.
+     * Guards against a process started with SIGHUP ignored, for example by nohup, that never
+     * reloads its configuration: it kept watching discovery's old address and went on sending
+     * requests to draining nodes.
      */
     @ParameterizedTest
     @ValueSource(strings = {"trap '' HUP", "trap - HUP"})
@@ -53,7 +53,8 @@
         waitUntil(() -> !moved.requests.isEmpty());
         waitUntil(() -> readStatus(port) == 200 && !cache.requests.isEmpty());
         long millis = (System.nanoTime() - reloaded) / 1_000_000;
-        assertTrue(millis <= TimeBudget.RELOAD_NOTIFIED_MILLIS, "in force after " + millis + " ms");
+        assertTrue(
+                millis <= TimeBudget.RELOAD_NOTIFIED_MILLIS, "in effect after " + millis + " ms");
         int sent = draining.requests.size();
         for (int i = 0; i < READS; i++) {
             assertEquals(200, readStatus(port));
--- a/src/test/java/cairnbridge/proxy/RestartSoakTest.java
+++ b/src/test/java/cairnbridge/proxy/RestartSoakTest.java
@@ -25,9 +25,9 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Restarts and upgrades of real processes under clients that use their connections for as long as
- * they stay open. A seed chooses signals and disturbances. System properties choose the seeds: the
- * first one in {@code soak.first}, their number in {@code soak.seeds}.
+ * Restarts and upgrades real processes while clients send requests on persistent connections.
+ * Signals and faults are drawn from a seed. The system property {@code soak.first} sets the first
+ * seed, {@code soak.seeds} the number of seeds.
  */
 @Timeout(90)
 class RestartSoakTest extends ProxyTestSupport {
@@ -43,10 +43,13 @@
     private static final int IDLE_CLIENTS = 30;
     private static final int STEPS = 2;
 
-    /** The longest TTL of the settings, and what the platform adds before it kills. */
+    /**
+     * Time from SIGTERM to SIGKILL: the longest TTL of the settings and the margin that the
+     * platform adds.
+     */
     private static final long KILL_DELAY_MILLIS = 1000 + 700;
 
-    /** For so long after SIGTERM new connections come to a process that has no successor. */
+    /** How long after SIGTERM clients still connect to a process that has no successor. */
     private static final long CONNECT_AFTER_TERM_MILLIS = 300;
 
     private static final long NOTIFIED_MILLIS = 6000;
@@ -55,7 +58,7 @@
     private static final Pattern TRACE_ID = Pattern.compile("(?i)x-trace-id: (\\S+)");
     private static final Pattern EXPIRES_IN_MICROS = Pattern.compile("(?i)x-expires-in: (\\d+)u");
 
-    /** What happens to the process that serves. */
+    /** What the test does to the serving process. */
     private enum Step {
         RESTART,
         RELOAD_THEN_RESTART,
@@ -100,7 +103,8 @@
         clients.forEach(SoakClient::stop);
         Thread.sleep(1200);
         System.out.printf(
-                "soak: seed %d, %s: %d requests, %d answered, %d crossed a close, broken: %s%n",
+                "soak: seed %d, %s: %d requests, %d answered, %d raced with a close, violations:"
+                        + " %s%n",
                 seed,
                 history,
                 checker.requestCount(),
@@ -143,7 +147,7 @@
         history.add(
                 (hangs ? "a cache hangs, " : "")
                         + (resets ? "a cache resets, " : "")
-                        + (discoveryIsDown ? "discovery is away" : "discovery is there"));
+                        + (discoveryIsDown ? "discovery is down" : "discovery is up"));
     }
 
     private static int freePort() throws IOException {
@@ -155,10 +159,11 @@
     private String serve(String request, String node, boolean hangs, boolean resets) {
         long nowNanos = System.nanoTime();
         Matcher trace = TRACE_ID.matcher(request);
-        Matcher told = EXPIRES_IN_MICROS.matcher(request);
-        if (trace.find() && told.find()) {
-            long toldMillis = TimeUnit.MICROSECONDS.toMillis(Long.parseLong(told.group(1)));
-            checker.attempted(trace.group(1), node, toldMillis, nowNanos);
+        Matcher expiresIn = EXPIRES_IN_MICROS.matcher(request);
+        if (trace.find() && expiresIn.find()) {
+            long expiresInMillis =
+                    TimeUnit.MICROSECONDS.toMillis(Long.parseLong(expiresIn.group(1)));
+            checker.attempted(trace.group(1), node, expiresInMillis, nowNanos);
             if (resets && Math.floorMod(trace.group(1).hashCode(), RESET_INTERVAL) == 0) {
                 return RESET_CONNECTION;
             }
@@ -169,10 +174,16 @@
     private List<SoakClient> startClients() throws IOException {
         List<SoakClient> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS.size(); i++) {
-            RandomGenerator own =
+            RandomGenerator clientRandom =
                     RandomGeneratorFactory.of("L64X128MixRandom").create(random.nextLong());
             SoakClient client =
-                    new SoakClient("soak-" + i, checker, port, CLIENTS.get(i), () -> mayConnect, own);
+                    new SoakClient(
+                            "soak-" + i,
+                            checker,
+                            port,
+                            CLIENTS.get(i),
+                            () -> mayConnect,
+                            clientRandom);
             clients.add(client);
             daemon(
                     () -> {
@@ -181,7 +192,7 @@
                     });
         }
         if (random.nextInt(3) == 0) {
-            history.add("a silent crowd");
+            history.add("idle clients");
             for (int i = 0; i < IDLE_CLIENTS; i++) {
                 opened.add(new Socket(InetAddress.getLoopbackAddress(), port));
             }
@@ -198,7 +209,7 @@
         return process;
     }
 
-    /** A process with an admin endpoint of its own. */
+    /** Starts a process with a new admin port. */
     private Process startNext() throws IOException {
         adminPort = freePort();
         extraConfig = "\"admin_addr\":\"127.0.0.1:%d\",".formatted(adminPort);
@@ -206,7 +217,9 @@
         return startProcess();
     }
 
-    /** Takes the log of a process, so that it never waits for that, and keeps it. */
+    /**
+     * Copies the log of a process to the log file, so that the process never blocks on writing it.
+     */
     private void copyLog(Process process, BufferedReader log) {
         daemon(
                 () -> {
@@ -237,15 +250,15 @@
         if (step == Step.RELOAD_THEN_RESTART) {
             sendSignal(serving, "HUP");
         }
-        long toldNanos = System.nanoTime();
+        long termNanos = System.nanoTime();
         sendSignal(serving, "TERM");
         if (step == Step.TERMINATE_TWICE) {
             Thread.sleep(random.nextInt(400));
             sendSignal(serving, "TERM");
         }
-        sleepUntil(toldNanos, CONNECT_AFTER_TERM_MILLIS);
+        sleepUntil(termNanos, CONNECT_AFTER_TERM_MILLIS);
         mayConnect = false;
-        killAfterDelay(serving, toldNanos);
+        killAfterDelay(serving, termNanos);
         if (step == Step.TERMINATE_DURING_START) {
             terminateDuringStart();
         }
@@ -266,32 +279,33 @@
         copyLog(starting, logOf(starting));
         mayConnect = true;
         Thread.sleep(random.nextInt(200, 1500));
-        long toldNanos = System.nanoTime();
+        long termNanos = System.nanoTime();
         sendSignal(starting, "TERM");
-        sleepUntil(toldNanos, CONNECT_AFTER_TERM_MILLIS);
+        sleepUntil(termNanos, CONNECT_AFTER_TERM_MILLIS);
         mayConnect = false;
-        killAfterDelay(starting, toldNanos);
+        killAfterDelay(starting, termNanos);
     }
 
     private void upgrade(boolean underReload) throws Exception {
-        Process younger = startServing();
+        Process successor = startServing();
         if (!draining && !discoveryIsDown) {
             draining = true;
-            checker.drained("d", System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(NOTIFIED_MILLIS));
+            checker.drained(
+                    "d", System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(NOTIFIED_MILLIS));
         }
         if (underReload) {
             sendSignal(serving, "HUP");
-            sendSignal(younger, "HUP");
+            sendSignal(successor, "HUP");
         }
-        long toldNanos = System.nanoTime();
+        long termNanos = System.nanoTime();
         sendSignal(serving, "TERM");
-        killAfterDelay(serving, toldNanos);
-        serving = younger;
+        killAfterDelay(serving, termNanos);
+        serving = successor;
     }
 
-    /** SIGKILL at the earliest time that the platform's page allows. */
-    private static void killAfterDelay(Process process, long toldNanos) throws Exception {
-        sleepUntil(toldNanos, KILL_DELAY_MILLIS);
+    /** Sends SIGKILL at the earliest time that the platform's specification allows. */
+    private static void killAfterDelay(Process process, long termNanos) throws Exception {
+        sleepUntil(termNanos, KILL_DELAY_MILLIS);
         process.destroyForcibly().waitFor();
     }
 
--- a/src/test/java/cairnbridge/proxy/SoakChecker.java
+++ b/src/test/java/cairnbridge/proxy/SoakChecker.java
@@ -7,26 +7,31 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Collects what clients and servers saw of each request, and says which rules of the service were
- * broken. Times are those of {@link System#nanoTime}. Any thread may call it.
+ * Records what clients and servers observe of each request, and reports which rules of the service
+ * were violated. Times are values of {@link System#nanoTime}. Thread-safe.
  */
 final class SoakChecker {
-    /** How long after its TTL an answer may come before the request counts as lost. */
+    /** How long after its TTL a response may arrive before the request counts as lost. */
     static final long LATE_ANSWER_MILLIS = 500;
 
-    /** How long after its client has left an attempt may begin. */
+    /** How long after its client has disconnected an attempt may still reach a server. */
     static final long LATE_ATTEMPT_MILLIS = 100;
 
-    /** How much longer than the client waits an attempt may be told that it has. */
+    /** How far the expiry of an attempt may exceed the remaining TTL of its request. */
     static final long DEADLINE_SLACK_MILLIS = 150;
 
-    /** A connection that rested so long may be closed while a request is on its way to it. */
+    /**
+     * The shortest idle time after which the proxy may close a connection while a request is in
+     * transit.
+     */
     static final long CLOSE_RACE_IDLE_MILLIS = 100;
 
-    /** Within this time of its sending a close counts as having crossed a request. */
+    /**
+     * The longest time from sending a request to the close of its connection that counts as a race.
+     */
     static final long CLOSE_RACE_MILLIS = 100;
 
-    /** The rules that a run can break. */
+    /** The rules that a run can violate. */
     enum Rule {
         LOST,
         DUPLICATE,
@@ -36,13 +41,13 @@
     }
 
     /**
-     * A broken rule.
+     * A violated rule.
      *
      * @param traceId the request that shows it
      */
     record Violation(Rule rule, String traceId, String detail) {}
 
-    /** How a request ended as its client saw it. */
+    /** The outcome of a request as its client observed it. */
     private enum Outcome {
         ANSWERED,
         CLOSED,
@@ -51,7 +56,7 @@
 
     private record Attempt(String node, long atNanos, long expiresInMillis) {}
 
-    /** One request; its fields are guarded by its own lock. */
+    /** What is recorded of one request. Its own monitor guards its fields. */
     private static final class TrackedRequest {
         private final boolean repeatable;
         private final long ttlMillis;
@@ -61,10 +66,10 @@
         private Outcome outcome;
         private long outcomeNanos;
 
-        TrackedRequest(boolean repeatable, long ttlMillis, long restedMillis, long sentNanos) {
+        TrackedRequest(boolean repeatable, long ttlMillis, long idleMillis, long sentNanos) {
             this.repeatable = repeatable;
             this.ttlMillis = ttlMillis;
-            this.idleMillis = restedMillis;
+            this.idleMillis = idleMillis;
             this.sentNanos = sentNanos;
         }
     }
@@ -73,71 +78,78 @@
     private final Map<String, Long> drainedSinceNanos = new ConcurrentHashMap<>();
 
     /**
-     * A client is about to write the last byte of a request.
+     * Records that a client is about to send a request.
      *
-     * @param restedMillis how long its connection had been idle; 0 for a new connection
+     * @param idleMillis how long its connection had been idle; 0 for a new connection
      */
-    void sent(
-            String traceId, boolean repeatable, long ttlMillis, long restedMillis, long nowNanos) {
-        requests.put(traceId, new TrackedRequest(repeatable, ttlMillis, restedMillis, nowNanos));
+    void sent(String traceId, boolean repeatable, long ttlMillis, long idleMillis, long nowNanos) {
+        requests.put(traceId, new TrackedRequest(repeatable, ttlMillis, idleMillis, nowNanos));
     }
 
-    /** A client has a whole answer. */
+    /** Records that a client has read a whole response. */
     void answered(String traceId, long nowNanos) {
         recordOutcome(traceId, Outcome.ANSWERED, nowNanos);
     }
 
-    /** A client's connection was closed with no whole answer. */
+    /** Records that a client's connection was closed before it had read a whole response. */
     void closed(String traceId, long nowNanos) {
         recordOutcome(traceId, Outcome.CLOSED, nowNanos);
     }
 
-    /** A client has closed its connection without waiting for the answer. */
+    /** Records that a client has closed its connection before the response. */
     void clientDisconnected(String traceId, long nowNanos) {
         recordOutcome(traceId, Outcome.CLIENT_DISCONNECTED, nowNanos);
     }
 
-    private void recordOutcome(String traceId, Outcome end, long nowNanos) {
+    private void recordOutcome(String traceId, Outcome outcome, long nowNanos) {
         TrackedRequest entry = requests.get(traceId);
         synchronized (entry) {
-            entry.outcome = end;
+            entry.outcome = outcome;
             entry.outcomeNanos = nowNanos;
         }
     }
 
-    /** A server has read a whole attempt that was told to take this long at most. */
-    void attempted(String traceId, String node, long toldMillis, long nowNanos) {
+    /**
+     * Records that a server has read a whole attempt.
+     *
+     * @param expiresInMillis the remaining time that the attempt's header states
+     */
+    void attempted(String traceId, String node, long expiresInMillis, long nowNanos) {
         TrackedRequest entry = requests.get(traceId);
-        if (entry != null) { // Others are of the warm-up, or of health checks.
+        if (entry != null) { // Warm-up requests and health checks are not tracked.
             synchronized (entry) {
-                entry.attempts.add(new Attempt(node, nowNanos, toldMillis));
+                entry.attempts.add(new Attempt(node, nowNanos, expiresInMillis));
             }
         }
     }
 
-    /** From this time on nothing new may reach a node. */
-    void drained(String node, long fromNanos) {
-        drainedSinceNanos.put(node, fromNanos);
+    /** Records that a node must receive no new attempt after the given time. */
+    void drained(String node, long sinceNanos) {
+        drainedSinceNanos.put(node, sinceNanos);
     }
 
-    /** How many requests were sent. */
+    /** The number of requests sent. */
     int requestCount() {
         return requests.size();
     }
 
-    /** How many requests were answered. */
+    /** The number of requests with a whole response. */
     long answeredCount() {
-        return requests.values().stream().filter(entry -> entry.outcome == Outcome.ANSWERED).count();
+        return requests.values().stream()
+                .filter(entry -> entry.outcome == Outcome.ANSWERED)
+                .count();
     }
 
-    /** How many requests crossed the close of a connection that had rested. */
+    /**
+     * The number of requests that raced with the close of an idle connection and got no response.
+     */
     long closeRaceCount() {
         return requests.values().stream()
                 .filter(entry -> entry.outcome == Outcome.CLOSED && isCloseRace(entry))
                 .count();
     }
 
-    /** All broken rules, once the run is over. */
+    /** All violations of the run. Called after the clients have stopped. */
     List<Violation> violations() {
         List<Violation> found = new ArrayList<>();
         requests.forEach(
@@ -151,18 +163,19 @@
     }
 
     private static void checkOutcome(String traceId, TrackedRequest entry, List<Violation> found) {
-        long tookMillis = millisBetween(entry.sentNanos, entry.outcomeNanos);
+        long elapsedMillis = millisBetween(entry.sentNanos, entry.outcomeNanos);
         if (entry.outcome == null) {
-            found.add(new Violation(Rule.LOST, traceId, "no end"));
-        } else if (entry.outcome == Outcome.ANSWERED && tookMillis > entry.ttlMillis + LATE_ANSWER_MILLIS) {
-            found.add(new Violation(Rule.LOST, traceId, "answered after " + tookMillis + " ms"));
+            found.add(new Violation(Rule.LOST, traceId, "no outcome"));
+        } else if (entry.outcome == Outcome.ANSWERED
+                && elapsedMillis > entry.ttlMillis + LATE_ANSWER_MILLIS) {
+            found.add(new Violation(Rule.LOST, traceId, "answered after " + elapsedMillis + " ms"));
         } else if (entry.outcome == Outcome.CLOSED && !isCloseRace(entry)) {
             String detail =
                     "closed after "
-                            + tookMillis
+                            + elapsedMillis
                             + " ms, "
                             + entry.attempts.size()
-                            + " attempts, rested "
+                            + " attempts, idle for "
                             + entry.idleMillis
                             + " ms";
             found.add(new Violation(Rule.LOST, traceId, detail));
@@ -180,14 +193,19 @@
             found.add(new Violation(Rule.DUPLICATE, traceId, entry.attempts.size() + " attempts"));
         }
         for (Attempt attempt : entry.attempts) {
-            long leftMillis = entry.ttlMillis - millisBetween(entry.sentNanos, attempt.atNanos);
-            if (attempt.expiresInMillis > leftMillis + DEADLINE_SLACK_MILLIS) {
-                String detail = "told " + attempt.expiresInMillis + " ms of " + leftMillis;
+            long remainingMillis =
+                    entry.ttlMillis - millisBetween(entry.sentNanos, attempt.atNanos);
+            if (attempt.expiresInMillis > remainingMillis + DEADLINE_SLACK_MILLIS) {
+                String detail =
+                        "expires in "
+                                + attempt.expiresInMillis
+                                + " ms, remaining TTL in ms: "
+                                + remainingMillis;
                 found.add(new Violation(Rule.DEADLINE, traceId, detail));
             }
             long lateMillis = millisBetween(entry.outcomeNanos, attempt.atNanos);
             if (entry.outcome == Outcome.CLIENT_DISCONNECTED && lateMillis > LATE_ATTEMPT_MILLIS) {
-                String detail = "begun " + lateMillis + " ms after its client left";
+                String detail = "begun " + lateMillis + " ms after its client disconnected";
                 found.add(new Violation(Rule.LATE_ATTEMPT, traceId, detail));
             }
             Long drainedNanos = drainedSinceNanos.get(attempt.node);
--- a/src/test/java/cairnbridge/proxy/SoakCheckerTest.java
+++ b/src/test/java/cairnbridge/proxy/SoakCheckerTest.java
@@ -14,7 +14,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The soak's judge reports one planted fault for each rule, and nothing where none is planted. */
+/**
+ * {@link SoakChecker} reports an injected violation of each rule, and nothing for a request without
+ * one.
+ */
 @Timeout(20)
 class SoakCheckerTest {
     private static final long TTL_MILLIS = 1000;
@@ -26,8 +29,8 @@
         return START_NANOS + TimeUnit.MILLISECONDS.toNanos(millis);
     }
 
-    private void send(boolean repeatable, long restedMillis) {
-        checker.sent("r", repeatable, TTL_MILLIS, restedMillis, START_NANOS);
+    private void send(boolean repeatable, long idleMillis) {
+        checker.sent("r", repeatable, TTL_MILLIS, idleMillis, START_NANOS);
     }
 
     private List<Rule> violatedRules() {
@@ -132,7 +135,10 @@
         assertEquals(List.of(Rule.DEADLINE), violatedRules());
     }
 
-    /** A listener that closes with connections in its queue loses what was written to them. */
+    /**
+     * Guards against a soak test that misses requests lost in the accept queue of a listener that
+     * closes.
+     */
     @Test
     void aListenerClosedWithQueuedConnectionsIsReported() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 9, InetAddress.getLoopbackAddress())) {
@@ -148,7 +154,9 @@
         assertEquals(List.of(Rule.LOST), violatedRules());
     }
 
-    /** The same on a connection that was accepted, and read. */
+    /**
+     * Guards against a soak test that misses a request that was read and then dropped by a close.
+     */
     @Test
     void aConnectionClosedAfterItsRequestWasReadIsReported() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 9, InetAddress.getLoopbackAddress())) {
--- a/src/test/java/cairnbridge/proxy/SoakClient.java
+++ b/src/test/java/cairnbridge/proxy/SoakClient.java
@@ -9,28 +9,32 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A client of the soak: uses its connection for as long as that stays open, then opens another. Of
- * some kinds it ends its connections itself.
+ * A client of the soak test. It sends requests one after another on a persistent connection and
+ * opens another when that is closed. {@link Disconnects} sets whether the client closes connections
+ * itself.
  */
 final class SoakClient implements Runnable {
     private static final int TTL_MILLIS = 1000;
     private static final int READ_TIMEOUT_MILLIS = 4000;
     private static final int CONNECT_TIMEOUT_MILLIS = 1000;
 
-    /** Guards against the machine's ports being used up, which other tests need. */
+    /** Guards against exhausting the machine's ephemeral ports, which other tests need. */
     private static final int RECONNECT_PAUSE_MILLIS = 3;
 
-    /** How a client ends its connections itself. */
+    /** When a client closes its connection itself. */
     enum Disconnects {
-        /** Not at all. */
+        /** The client keeps its connection open until the proxy closes it. */
         NEVER,
-        /** After each answer. */
+        /** The client closes its connection after each response. */
         AFTER_EACH_RESPONSE,
-        /** At times without waiting for the answer. */
+        /**
+         * The client closes its connection before the response for one request in {@link
+         * #DISCONNECT_INTERVAL} on average.
+         */
         BEFORE_SOME_RESPONSES
     }
 
-    /** Of so many requests one is a write, and one is left by a client that leaves at all. */
+    /** One request in this many is a write, on average. */
     private static final int WRITE_INTERVAL = 4;
 
     private static final int DISCONNECT_INTERVAL = 5;
@@ -48,9 +52,9 @@
     private int requestCount;
 
     /**
-     * A client that has sent nothing.
+     * Creates a client that has sent no request yet.
      *
-     * @param mayConnect whether new connections may be made at present
+     * @param mayConnect whether a server currently accepts connections
      */
     SoakClient(
             String name,
@@ -67,7 +71,7 @@
         this.random = random;
     }
 
-    /** Ends it after the request that is under way. */
+    /** Stops the client after its current request. */
     void stop() {
         stopped = true;
     }
@@ -93,34 +97,37 @@
                     CONNECT_TIMEOUT_MILLIS);
             socket.setSoTimeout(READ_TIMEOUT_MILLIS);
             socket.setTcpNoDelay(true);
-            long restedMillis = 0;
+            long idleMillis = 0;
             boolean open = true;
             while (open && !stopped) {
-                open = exchange(socket, restedMillis) && disconnects != Disconnects.AFTER_EACH_RESPONSE;
-                restedMillis = open ? idle() : 0;
+                open =
+                        exchange(socket, idleMillis)
+                                && disconnects != Disconnects.AFTER_EACH_RESPONSE;
+                idleMillis = open ? idle() : 0;
             }
         } catch (IOException e) {
-            // Refused, as between two processes.
+            // Connection refused, as it happens between two processes.
         }
     }
 
     private long idle() throws InterruptedException {
         boolean isLong = random.nextInt(LONG_IDLE_INTERVAL) == 0;
-        long sinceNanos = System.nanoTime();
+        long startNanos = System.nanoTime();
         Thread.sleep(random.nextInt(isLong ? LONG_IDLE_MILLIS : SHORT_IDLE_MILLIS));
-        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sinceNanos);
+        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
     }
 
-    /** Sends a request; whether its connection stays open behind the answer. */
-    private boolean exchange(Socket socket, long restedMillis) {
+    /** Sends a request and returns whether the connection stays open after the response. */
+    private boolean exchange(Socket socket, long idleMillis) {
         String traceId = name + "-" + requestCount++;
         boolean isWrite = random.nextInt(WRITE_INTERVAL) == 0;
         String line = (isWrite ? "PUT /loan/" : "GET /view/") + random.nextInt(50);
         String headers = "X-Trace-Id: " + traceId + "\r\nX-Expires-In: " + TTL_MILLIS + "m\r\n";
-        checker.sent(traceId, !isWrite, TTL_MILLIS, restedMillis, System.nanoTime());
+        checker.sent(traceId, !isWrite, TTL_MILLIS, idleMillis, System.nanoTime());
         try {
             ProxyTestSupport.send(socket, line, headers, isWrite ? "v" : "");
-            if (disconnects == Disconnects.BEFORE_SOME_RESPONSES && random.nextInt(DISCONNECT_INTERVAL) == 0) {
+            if (disconnects == Disconnects.BEFORE_SOME_RESPONSES
+                    && random.nextInt(DISCONNECT_INTERVAL) == 0) {
                 TimeUnit.MICROSECONDS.sleep(random.nextInt(3000));
                 socket.close();
                 checker.clientDisconnected(traceId, System.nanoTime());
--- a/src/test/java/cairnbridge/proxy/StartTest.java
+++ b/src/test/java/cairnbridge/proxy/StartTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Processes that are started together, on one machine here, are ready in time whatever discovery
- * does.
+ * Processes started at the same time on one machine are ready in time, whatever the state of
+ * discovery.
  */
 class StartTest extends ProxyTestSupport {
     private static final int PROCESSES = 10;
@@ -19,11 +19,11 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"up", "refused", "hung", "returning"})
-    void nineOfTenProcessesAreReadyWithinTenSeconds(String does) throws Exception {
+    void nineOfTenProcessesAreReadyWithinTenSeconds(String discoveryState) throws Exception {
         AtomicInteger calls = new AtomicInteger();
         discoveryHandler =
                 request ->
-                        switch (does) {
+                        switch (discoveryState) {
                             case "hung" -> SILENT;
                             case "returning" ->
                                     calls.incrementAndGet() <= 3 * PROCESSES
@@ -32,7 +32,7 @@
                             default -> QUIET;
                         };
         start();
-        if (does.equals("refused")) {
+        if (discoveryState.equals("refused")) {
             discovery.close();
         }
         config(
@@ -42,24 +42,25 @@
                         endpointJson("c", cache.address(), "cache", "Ready"),
                         endpointJson("o", origin.address(), "origin", "Ready")),
                 discovery.address());
-        long started = System.nanoTime();
-        List<Thread> waiting = new ArrayList<>();
+        long startNanos = System.nanoTime();
+        List<Thread> watchers = new ArrayList<>();
         AtomicInteger ready = new AtomicInteger();
         for (int i = 0; i < PROCESSES; i++) {
             Process process = startProcess();
-            waiting.add(
+            watchers.add(
                     daemon(
                             () -> {
                                 portFromLog(logOf(process));
-                                if (System.nanoTime() - started <= READY_NANOS) {
+                                if (System.nanoTime() - startNanos <= READY_NANOS) {
                                     ready.incrementAndGet();
                                 }
                                 return null;
                             }));
         }
-        for (Thread each : waiting) {
-            each.join(Math.max(1, (READY_NANOS - (System.nanoTime() - started)) / 1_000_000));
+        for (Thread each : watchers) {
+            each.join(Math.max(1, (READY_NANOS - (System.nanoTime() - startNanos)) / 1_000_000));
         }
-        assertTrue(ready.get() >= REQUIRED_READY, ready + " of " + PROCESSES + " were ready in 10 s");
+        assertTrue(
+                ready.get() >= REQUIRED_READY, ready + " of " + PROCESSES + " were ready in 10 s");
     }
 }
--- a/src/test/java/cairnbridge/proxy/StatsNamesTest.java
+++ b/src/test/java/cairnbridge/proxy/StatsNamesTest.java
@@ -15,7 +15,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A proxy with all optional parts on has the metrics of an earlier version, no more and no fewer.
+ * A proxy with all optional parts enabled has exactly the metrics that the fixture lists, recorded
+ * from an earlier version.
  */
 class StatsNamesTest extends ProxyTestSupport {
     private static final String FLEET =
@@ -42,20 +43,20 @@
                         config.recovery().orElseThrow(),
                         config.transport().identity().generation(),
                         line -> {});
-        ProxyServer made =
+        ProxyServer server =
                 new ProxyServer(config("{}", discovery.address()), () -> broken = true, clock);
-        made.joinFleet(
+        server.joinFleet(
                 config.withPersisted(keeper.generation(), keeper.rememberedEndpoints()),
                 Optional.of(keeper));
-        opened.add(made::stop);
-        made.start();
-        return made;
+        opened.add(server::stop);
+        server.start();
+        return server;
     }
 
     private static String stats(InetSocketAddress address) throws Exception {
-        try (Socket caller = new Socket(address.getAddress(), address.getPort())) {
-            caller.getOutputStream().write("stats\n".getBytes(StandardCharsets.ISO_8859_1));
-            return new String(caller.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
+        try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
+            socket.getOutputStream().write("stats\n".getBytes(StandardCharsets.ISO_8859_1));
+            return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
         }
     }
 
--- a/src/test/java/cairnbridge/proxy/WarmupTest.java
+++ b/src/test/java/cairnbridge/proxy/WarmupTest.java
@@ -5,12 +5,15 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** What is left of the warm-up once the proxy is ready. */
+/** Connections that the warm-up leaves open. */
 class WarmupTest extends ProxyTestSupport {
-    /** Well under the time after which idle connections are closed anyway. */
+    /** Well below the idle timeout of client connections, which would close them anyway. */
     private static final long CLOSED_WITHIN_MILLIS = 1000;
 
-    /** Guards against clients whose connections end early, as the warm-up's count among theirs. */
+    /**
+     * Guards against client connections that are closed early because the warm-up's connections
+     * count against the same limit.
+     */
     @Test
     void warmUpConnectionsAreClosedOnceTheProxyIsReady() throws Exception {
         start();
@@ -22,6 +25,6 @@
             left = proxy.openDescriptors();
         }
 
-        assertTrue(left <= 1, "beside the watch " + left + " are open");
+        assertTrue(left <= 1, "descriptors open, the discovery watch included: " + left);
     }
 }
