--- a/src/test/java/cairnbridge/proxy/CloseRaceTest.java
+++ b/src/test/java/cairnbridge/proxy/CloseRaceTest.java
@@ -53,8 +53,8 @@
             for (int i = 0; i < fillers.size(); i++) {
                 server.accept();
             }
-            server.setSoTimeout(
-                    4000); // The kernel repeats the SYN after one and after three seconds.
+            // The kernel repeats the SYN after one and after three seconds.
+            server.setSoTimeout(4000);
             try (Socket pending = server.accept()) {
                 pending.setSoTimeout(1000);
                 return pending.getInputStream().read();
@@ -117,11 +117,8 @@
         int descriptorsBefore = proxy.openDescriptors();
         client[0] = connectClient();
         send(client[0], "GET /view/1", ttlHeader(4000), ""); // Less than the connect timeout.
-        waitUntil(
-                () ->
-                        proxy.openDescriptors()
-                                >= descriptorsBefore
-                                        + 2); // The client's connection and the pending connect.
+        // The client's connection and the pending connect.
+        waitUntil(() -> proxy.openDescriptors() >= descriptorsBefore + 2);
         return node;
     }
 
@@ -245,13 +242,14 @@
                 });
         assertEquals("kept", bodyOf(readMessage(client)));
         assertEquals(400, statusCode(readMessage(client)));
-        assertEquals(-1, client.getInputStream().read(), "ended, not reset");
+        assertEquals(
+                -1, client.getInputStream().read(), "the connection is closed without a reset");
         assertEquals(1, cache.requests.size());
     }
 
     /**
-     * Guards against a request whose TTL is longer than the time between SIGTERM and SIGKILL: it
-     * must be answered before the process exits.
+     * Guards against a shutdown that waits for an in-flight request until SIGKILL cuts it off: a
+     * request whose TTL exceeds the shutdown time must be answered before the process exits.
      */
     @Test
     void anInFlightRequestWithALongTtlIsAnsweredBeforeTheShutdownEnds() throws Exception {
@@ -298,16 +296,18 @@
         assertEquals(503, statusCode(readMessage(client)));
         long millis = (System.nanoTime() - signalNanos) / 1_000_000;
         assertTrue(millis <= 1000 + TimeBudget.KILL_MARGIN_MILLIS, "answered after " + millis);
-        assertEquals(-1, client.getInputStream().read(), "ended, not reset");
-        process.waitFor(); // It exits by itself, with no request left that a SIGKILL could cut off.
+        assertEquals(
+                -1, client.getInputStream().read(), "the connection is closed without a reset");
+        // The process exits by itself, with no request left that a SIGKILL could cut off.
+        process.waitFor();
     }
 
     @Test
     void aProxyTerminatedDuringItsStartExitsByItself() throws Exception {
         start();
         Process process = startProcess();
-        waitUntil(
-                () -> discovery.requests.size() >= 2); // It fetches its endpoint list and warms up.
+        // The process fetches its endpoint list and warms up.
+        waitUntil(() -> discovery.requests.size() >= 2);
         sendSignal(process, "TERM");
         process.waitFor();
     }
--- a/src/test/java/cairnbridge/proxy/DiscoveryTest.java
+++ b/src/test/java/cairnbridge/proxy/DiscoveryTest.java
@@ -22,10 +22,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/**
- * The proxy uses a change of the endpoint list within {@link TimeBudget#NOTIFIED_MILLIS}, whatever
- * happened to earlier discovery calls.
- */
+/** The proxy uses a changed endpoint list within NOTIFIED_MILLIS, whatever calls failed before. */
 class DiscoveryTest extends ProxyTestSupport {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
@@ -33,10 +30,7 @@
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    /**
-     * How discovery handles one call. The first handler serves the first call, and so on; the last
-     * one serves all further calls.
-     */
+    /** Handles one call to discovery; the last handler serves all further calls. */
     private interface CallHandler {
         void handle(Socket socket, OutputStream out) throws IOException, InterruptedException;
     }
@@ -104,10 +98,8 @@
         startWithDiscovery(
                 discoveryServer(
                         (socket, out) -> {
-                            waitUntil(
-                                    () ->
-                                            requestsSent.get()
-                                                    >= 30); // Clients send requests all this time.
+                            // Clients send requests all this time.
+                            waitUntil(() -> requestsSent.get() >= 30);
                             respond(
                                     out,
                                     endpointListJson(
@@ -147,10 +139,7 @@
         assertEquals(1, cache.requests.size());
     }
 
-    /**
-     * Guards against a late update after an outage: calls fail in every way, the backoff has grown,
-     * and the last call hangs as discovery recovers.
-     */
+    /** Guards against a late update when the backoff is long and a call hangs after an outage. */
     @Test
     void anUpdateArrivesInTimeAfterCallsThatFailInEveryWay() throws Exception {
         AtomicLong recoveredAt = new AtomicLong();
@@ -168,8 +157,8 @@
                         failing,
                         failing,
                         (socket, out) -> {
-                            recoveredAt.set(System.nanoTime()); // From now on discovery answers new
-                            // calls, but this call still hangs.
+                            // From now on discovery answers new calls, but this call still hangs.
+                            recoveredAt.set(System.nanoTime());
                             holdOpen(socket, out);
                         },
                         failing,
@@ -184,10 +173,7 @@
                 "notified after " + millis);
     }
 
-    /**
-     * Guards against a watch whose connection stays open but delivers nothing more, whatever its
-     * last bytes were.
-     */
+    /** Guards against a watch that stays open but falls silent, whatever its last bytes were. */
     @ParameterizedTest
     @ValueSource(strings = {"", "\n", "{\"rev\":1,\"all\":false,\"targets\":[]}\n", "{\"rev\":"})
     void anUpdateMissedByASilentWatchArrivesInTime(String lastBytes) throws Exception {
@@ -213,10 +199,7 @@
                 "notified after " + millis);
     }
 
-    /**
-     * Guards against losing a change for ever: lines after an unusable one do not repeat what it
-     * contained.
-     */
+    /** Guards against losing a change: the lines after an unusable one do not repeat it. */
     @Test
     void anUnusableLineCausesARequestForTheWholeList() throws Exception {
         startWithDiscovery(
@@ -271,10 +254,7 @@
         assertEquals(1, discovery.requests.size());
     }
 
-    /**
-     * Guards against parsing half a line as a whole one, and against skipping its version when the
-     * watch is reopened.
-     */
+    /** Guards against parsing half a line, and against skipping its version on reopening. */
     @Test
     void aWatchCutOffWithinALineResumesAfterTheLastWholeVersion() throws Exception {
         startWithDiscovery(
@@ -293,10 +273,7 @@
         assertTrue(discovery.requests.get(1).contains("after=1 "), discovery.requests.get(1));
     }
 
-    /**
-     * Guards against a late update in subscribe mode, where a subscription of 60 s must not
-     * postpone the next call after failed ones.
-     */
+    /** Guards against a retry time of 60 s, in subscribe mode, that delays calls after failures. */
     @Test
     void anUpdateInSubscribeModeArrivesInTimeAfterFailedCalls() throws Exception {
         extraSettings = "\"registry-mode\":\"subscribe\",\"rules\":{\"ask-within-s\":60},";
@@ -322,10 +299,7 @@
                 "notified after " + millis);
     }
 
-    /**
-     * Guards against idle clients that use up all file descriptors, under a real limit of the
-     * process, so that no descriptor is left for discovery when it recovers.
-     */
+    /** Guards against idle clients that, under a real ulimit, leave no descriptor for discovery. */
     @Test
     void idleClientsThatFillTheDescriptorsDoNotKeepTheListAway() throws Exception {
         maxSockets = 96;
@@ -360,8 +334,8 @@
         daemon(
                 () -> {
                     while (log.readLine() != null) {
-                        Thread.onSpinWait(); // Drains the log, so that the process never blocks
-                        // on writing it.
+                        // Drains the log, so that the process never blocks on writing it.
+                        Thread.onSpinWait();
                     }
                     return null;
                 });
--- a/src/test/java/cairnbridge/proxy/OperatorsTest.java
+++ b/src/test/java/cairnbridge/proxy/OperatorsTest.java
@@ -244,15 +244,15 @@
         start(endpointJson("out", maintained.address(), "cache", "Ready"));
         assertTrue(callAdmin("maint-on out").startsWith("200"));
         proxy.stop();
-        String savedList =
+        String configuredList =
                 endpointListJson(
                         1,
                         true,
                         endpointJson("out", maintained.address(), "cache", "Ready"),
                         endpointJson("o", origin.address(), "origin", "Ready"));
-        proxy = startServer(savedList);
+        proxy = startServer(configuredList);
         assertEquals(503, statusCode(sendRequest("GET /view/1", ttlHeader(800), "")));
-        ProxyServer other = startServer(savedList);
+        ProxyServer other = startServer(configuredList);
         assertTrue(callAdmin(other, "maint-off out").startsWith("200"));
         waitUntil(() -> statusCode(sendRequest("GET /view/1", ttlHeader(800), "")) == 200);
         try (var files = Files.list(folder)) {
@@ -379,9 +379,9 @@
                                             "GET /view/" + i,
                                             ttlHeader(800).replace("9b1f", "x" + i),
                                             "");
-                                    if (readMessage(client)
-                                            == null) { // A rejection counts as a response: the
-                                        // machine may be overloaded.
+                                    // A rejection counts as a response: the machine may be
+                                    // overloaded.
+                                    if (readMessage(client) == null) {
                                         failures.add(
                                                 "request " + i + ": closed without a response");
                                     }
--- a/src/test/java/cairnbridge/proxy/SoakClient.java
+++ b/src/test/java/cairnbridge/proxy/SoakClient.java
@@ -58,13 +58,13 @@
      */
     SoakClient(
             String name,
-            SoakChecker judge,
+            SoakChecker checker,
             int port,
             Disconnects kind,
             BooleanSupplier mayConnect,
             RandomGenerator random) {
         this.name = name;
-        this.checker = judge;
+        this.checker = checker;
         this.port = port;
         this.disconnects = kind;
         this.mayConnect = mayConnect;
--- a/src/test/java/cairnbridge/proxy/WarmupTest.java
+++ b/src/test/java/cairnbridge/proxy/WarmupTest.java
@@ -25,6 +25,8 @@
             left = proxy.openDescriptors();
         }
 
-        assertTrue(left <= 1, "descriptors open, the discovery watch included: " + left);
+        assertTrue(
+                left <= 1,
+                "expected the discovery watch alone, but " + left + " descriptors are open");
     }
 }
