--- a/src/test/java/cairnbridge/proxy/CloseRaceTest.java
+++ b/src/test/java/cairnbridge/proxy/CloseRaceTest.java
@@ -103,7 +103,7 @@
                         out.write(
                                 (Integer.toHexString(update.length()) + "\r\n" + update + "\r\n")
                                         .getBytes());
-                        readMessage(socket); // Until the proxy closes the connection.
+                        readMessage(socket); // Blocks until the proxy closes the connection.
                         return null;
                     }
                 };
@@ -116,7 +116,7 @@
                                 endpointJson("o", origin.address(), "origin", "Ready")));
         int descriptorsBefore = proxy.openDescriptors();
         client[0] = connectClient();
-        send(client[0], "GET /view/1", ttlHeader(4000), ""); // Less than the connect timeout.
+        send(client[0], "GET /view/1", ttlHeader(4000), ""); // Below the connect timeout.
         // The client's connection and the pending connect.
         waitUntil(() -> proxy.openDescriptors() >= descriptorsBefore + 2);
         return node;
--- a/src/test/java/cairnbridge/proxy/DiscoveryTest.java
+++ b/src/test/java/cairnbridge/proxy/DiscoveryTest.java
@@ -52,7 +52,7 @@
     }
 
     private static void holdOpen(Socket socket, OutputStream out) throws IOException {
-        readMessage(socket); // Until the proxy closes the connection.
+        readMessage(socket); // Blocks until the proxy closes the connection.
     }
 
     private static void reset(Socket socket, OutputStream out) throws IOException {
--- a/src/test/java/cairnbridge/proxy/SoakChecker.java
+++ b/src/test/java/cairnbridge/proxy/SoakChecker.java
@@ -31,7 +31,11 @@
      */
     static final long CLOSE_RACE_MILLIS = 100;
 
-    /** The rules that a run can violate. */
+    /**
+     * The rules: no request is lost, no write is repeated, a draining node gets nothing new, no
+     * attempt begins after its client has disconnected, and no attempt gets a longer deadline than
+     * its request.
+     */
     enum Rule {
         LOST,
         DUPLICATE,
@@ -78,7 +82,7 @@
     private final Map<String, Long> drainedSinceNanos = new ConcurrentHashMap<>();
 
     /**
-     * Records that a client is about to send a request.
+     * Records that a client is about to send a request, whose TTL counts from now.
      *
      * @param idleMillis how long its connection had been idle; 0 for a new connection
      */
