--- a/src/test/java/cairnbridge/proxy/DiscoveryTest.java
+++ b/src/test/java/cairnbridge/proxy/DiscoveryTest.java
@@ -22,10 +22,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/**
- * A change is in hand within the time in which it counts as told, whatever became of the calls
- * before.
- */
+/** The proxy uses a changed endpoint list within NOTIFIED_MILLIS, whatever calls failed before. */
 class DiscoveryTest extends ProxyTestSupport {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
@@ -33,12 +30,12 @@
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    /** What discovery does with each call in turn; the last stays. */
-    private interface Turn {
-        void take(Socket socket, OutputStream out) throws IOException, InterruptedException;
+    /** Handles one call to discovery; the last handler serves all further calls. */
+    private interface CallHandler {
+        void handle(Socket socket, OutputStream out) throws IOException, InterruptedException;
     }
 
-    private StandInServer discovery(Turn... turns) throws IOException {
+    private StandInServer discoveryServer(CallHandler... handlers) throws IOException {
         AtomicInteger calls = new AtomicInteger();
         return new StandInServer(request -> "") {
             @Override
@@ -46,7 +43,7 @@
                 String request = readMessage(socket);
                 if (request != null) {
                     requests.add(request);
-                    turns[Math.min(calls.getAndIncrement(), turns.length - 1)].take(
+                    handlers[Math.min(calls.getAndIncrement(), handlers.length - 1)].handle(
                             socket, socket.getOutputStream());
                 }
                 return null;
@@ -54,8 +51,8 @@
         };
     }
 
-    private static void hang(Socket socket, OutputStream out) throws IOException {
-        readMessage(socket); // Until the other side ends it.
+    private static void holdOpen(Socket socket, OutputStream out) throws IOException {
+        readMessage(socket); // Blocks until the proxy closes the connection.
     }
 
     private static void reset(Socket socket, OutputStream out) throws IOException {
@@ -63,46 +60,47 @@
         socket.close();
     }
 
-    private void startWith(StandInServer at) throws Exception {
+    private void startWithDiscovery(StandInServer discoveryStub) throws Exception {
         cache = new StandInServer(request -> HIT);
         origin = new StandInServer(request -> "200 OK||fetched");
-        discovery = at;
+        discovery = discoveryStub;
         proxy =
                 startServer(
                         endpointListJson(
                                 1, true, endpointJson("o", origin.address(), "origin", "Ready")));
     }
 
-    /** A list that names the cache; it is in use once a read is answered by that. */
-    private String change(int version) {
+    /** A list update that adds the cache. It is in use once the cache has answered a read. */
+    private String cacheAdded(int version) {
         return endpointListJson(
                 version, false, endpointJson("c", cache.address(), "cache", "Ready"));
     }
 
-    private void untilInUse() throws IOException, InterruptedException {
+    private void awaitCacheInUse() throws IOException, InterruptedException {
         waitUntil(
                 () ->
                         statusCode(sendRequest("GET /view/1", ttlHeader(300), "")) == 200
                                 && !cache.requests.isEmpty());
     }
 
-    private void tell(OutputStream out, String text) throws IOException {
+    private void respond(OutputStream out, String text) throws IOException {
         out.write((HEAD + chunk(text)).getBytes(StandardCharsets.ISO_8859_1));
     }
 
     /**
-     * What discovery has counts as told from a process's first moment: nothing goes by an older
-     * list.
+     * Guards against routing by an outdated list during the start: discovery's list counts as
+     * notified as soon as the process runs.
      */
     @Test
-    void aStartingProxySendsNothingByItsOldListWhileDiscoverysIsOnItsWay() throws Exception {
-        StandInServer gone = new StandInServer(request -> HIT);
-        AtomicInteger tries = new AtomicInteger();
-        startWith(
-                discovery(
+    void aStartingProxySendsNothingByItsConfiguredListBeforeDiscoveryAnswers() throws Exception {
+        StandInServer terminating = new StandInServer(request -> HIT);
+        AtomicInteger requestsSent = new AtomicInteger();
+        startWithDiscovery(
+                discoveryServer(
                         (socket, out) -> {
-                            waitUntil(() -> tries.get() >= 30); // Clients come all the while.
-                            tell(
+                            // Clients send requests all this time.
+                            waitUntil(() -> requestsSent.get() >= 30);
+                            respond(
                                     out,
                                     endpointListJson(
                                                     2,
@@ -111,11 +109,11 @@
                                                             "c", cache.address(), "cache", "Ready"),
                                                     endpointJson(
                                                             "gone",
-                                                            gone.address(),
+                                                            terminating.address(),
                                                             "cache",
                                                             "Terminating"))
                                             + "\n");
-                            hang(socket, out);
+                            holdOpen(socket, out);
                         }));
         proxy.stop();
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -124,8 +122,8 @@
         Thread clients =
                 daemon(
                         () -> {
-                            for (int code = 0; code != 200; tries.incrementAndGet()) {
-                                code = oneRead(port);
+                            for (int code = 0; code != 200; requestsSent.incrementAndGet()) {
+                                code = readStatus(port);
                             }
                             return null;
                         });
@@ -134,89 +132,88 @@
                         endpointListJson(
                                 1,
                                 true,
-                                endpointJson("gone", gone.address(), "cache", "Ready"),
+                                endpointJson("gone", terminating.address(), "cache", "Ready"),
                                 endpointJson("o", origin.address(), "origin", "Ready")));
         clients.join();
-        assertEquals(List.of(), gone.requests);
+        assertEquals(List.of(), terminating.requests);
         assertEquals(1, cache.requests.size());
     }
 
-    /** Calls fail in every way, the wait has grown, and the last hangs as discovery comes back. */
+    /** Guards against a late update when the backoff is long and a call hangs after an outage. */
     @Test
-    void afterCallsThatFailInEveryWayAChangeIsInHandInTime() throws Exception {
-        AtomicLong back = new AtomicLong();
-        Turn failing = DiscoveryTest::reset;
-        Turn down = (socket, out) -> out.write("HTTP/1.1 503 Down\r\n\r\n".getBytes());
-        Turn cut = (socket, out) -> tell(out, "{\"rev\":1,\"all\":fal");
-        startWith(
-                discovery(
+    void anUpdateArrivesInTimeAfterCallsThatFailInEveryWay() throws Exception {
+        AtomicLong recoveredAt = new AtomicLong();
+        CallHandler failing = DiscoveryTest::reset;
+        CallHandler unavailable =
+                (socket, out) -> out.write("HTTP/1.1 503 Down\r\n\r\n".getBytes());
+        CallHandler truncated = (socket, out) -> respond(out, "{\"rev\":1,\"all\":fal");
+        startWithDiscovery(
+                discoveryServer(
                         failing,
-                        down,
+                        unavailable,
                         failing,
-                        cut,
+                        truncated,
                         failing,
                         failing,
                         failing,
                         (socket, out) -> {
-                            back.set(System.nanoTime()); // From here on discovery would answer;
-                            // this call hangs on.
-                            hang(socket, out);
+                            // From now on discovery answers new calls, but this call still hangs.
+                            recoveredAt.set(System.nanoTime());
+                            holdOpen(socket, out);
                         },
                         failing,
                         (socket, out) -> {
-                            tell(out, change(2) + "\n");
-                            hang(socket, out);
+                            respond(out, cacheAdded(2) + "\n");
+                            holdOpen(socket, out);
                         }));
-        untilInUse();
-        long millis = (System.nanoTime() - back.get()) / 1_000_000;
+        awaitCacheInUse();
+        long millis = (System.nanoTime() - recoveredAt.get()) / 1_000_000;
         assertTrue(
                 millis <= TimeBudget.NOTIFIED_MILLIS - TimeBudget.NOTIFIED_SLACK_MILLIS / 2,
-                "in hand after " + millis);
+                "notified after " + millis);
     }
 
-    /** Guards against a watch that is open and dead, whatever it brought last. */
+    /** Guards against a watch that stays open but falls silent, whatever its last bytes were. */
     @ParameterizedTest
     @ValueSource(strings = {"", "\n", "{\"rev\":1,\"all\":false,\"targets\":[]}\n", "{\"rev\":"})
-    void whatASilentWatchMissesIsInHandInTime(String last) throws Exception {
-        AtomicLong silent = new AtomicLong();
-        startWith(
-                discovery(
+    void anUpdateMissedByASilentWatchArrivesInTime(String lastBytes) throws Exception {
+        AtomicLong silentSince = new AtomicLong();
+        startWithDiscovery(
+                discoveryServer(
                         (socket, out) -> {
                             out.write(HEAD.getBytes(StandardCharsets.ISO_8859_1));
-                            if (!last.isEmpty()) {
-                                out.write(chunk(last).getBytes(StandardCharsets.ISO_8859_1));
+                            if (!lastBytes.isEmpty()) {
+                                out.write(chunk(lastBytes).getBytes(StandardCharsets.ISO_8859_1));
                             }
-                            silent.set(System.nanoTime());
-                            hang(socket, out);
+                            silentSince.set(System.nanoTime());
+                            holdOpen(socket, out);
                         },
                         (socket, out) -> {
-                            tell(out, change(2) + "\n");
-                            hang(socket, out);
+                            respond(out, cacheAdded(2) + "\n");
+                            holdOpen(socket, out);
                         }));
-        untilInUse();
-        long millis = (System.nanoTime() - silent.get()) / 1_000_000;
+        awaitCacheInUse();
+        long millis = (System.nanoTime() - silentSince.get()) / 1_000_000;
         assertTrue(
                 millis <= TimeBudget.NOTIFIED_MILLIS - TimeBudget.NOTIFIED_SLACK_MILLIS,
-                "in hand after " + millis);
+                "notified after " + millis);
     }
 
-    /**
-     * Guards against a change that is missed for good, as what comes behind it says nothing of it.
-     */
+    /** Guards against losing a change: the lines after an unusable one do not repeat it. */
     @Test
-    void aLineThatCannotBeUsedHasTheWholeListAskedFor() throws Exception {
-        startWith(
-                discovery(
+    void anUnusableLineCausesARequestForTheWholeList() throws Exception {
+        startWithDiscovery(
+                discoveryServer(
                         (socket, out) -> {
-                            tell(
+                            respond(
                                     out,
                                     "{\"rev\":2,\"all\":false,\"targets\":[{\"uid\":\"c\",oops}]}\n");
-                            hang(socket, out);
+                            holdOpen(socket, out);
                         },
                         (socket, out) -> {
-                            tell(
+                            respond(
                                     out,
-                                    change(3)
+                                    cacheAdded(3)
                                                     .replace("false", "true")
                                                     .replace(
                                                             "]}",
@@ -228,97 +225,95 @@
                                                                             "Ready")
                                                                     + "]}")
                                             + "\n");
-                            hang(socket, out);
+                            holdOpen(socket, out);
                         }));
-        untilInUse();
+        awaitCacheInUse();
         assertFalse(discovery.requests.get(1).contains("after="), discovery.requests.get(1));
     }
 
     /**
-     * Lists may come indented; words in quotes may hold braces, and a blank line is a heartbeat.
+     * Guards against splitting a list at line breaks or at braces within strings: discovery may
+     * indent its JSON, and a blank line is a heartbeat.
      */
     @Test
-    void aListThatGoesOverSeveralLinesIsOneList() throws Exception {
-        startWith(
-                discovery(
+    void aListSpreadOverSeveralLinesIsParsedAsOneList() throws Exception {
+        startWithDiscovery(
+                discoveryServer(
                         (socket, out) -> {
-                            tell(
+                            respond(
                                     out,
                                     "\n"
-                                            + change(2)
+                                            + cacheAdded(2)
                                                     .replace("{", "{\n    ")
                                                     .replace(",", ",\n  ")
                                                     .replace("\"az\":\"a\"", "\"az\":\"a}\\\"{\"")
                                             + "\n\n");
-                            hang(socket, out);
+                            holdOpen(socket, out);
                         }));
-        untilInUse();
+        awaitCacheInUse();
         assertEquals(1, discovery.requests.size());
     }
 
-    /** Guards against half a line taken for a line, and one that is told only behind it. */
+    /** Guards against parsing half a line, and against skipping its version on reopening. */
     @Test
-    void aWatchThatEndsAmidALineIsAskedForWhatItMissed() throws Exception {
-        startWith(
-                discovery(
+    void aWatchCutOffWithinALineResumesAfterTheLastWholeVersion() throws Exception {
+        startWithDiscovery(
+                discoveryServer(
                         (socket, out) -> {
-                            String text = change(7) + "\n";
+                            String text = cacheAdded(7) + "\n";
                             String size = Integer.toHexString(text.length());
                             out.write((HEAD + size + "\r\n" + text.substring(0, 30)).getBytes());
                             reset(socket, out);
                         },
                         (socket, out) -> {
-                            tell(out, change(7) + "\n");
-                            hang(socket, out);
+                            respond(out, cacheAdded(7) + "\n");
+                            holdOpen(socket, out);
                         }));
-        untilInUse();
+        awaitCacheInUse();
         assertTrue(discovery.requests.get(1).contains("after=1 "), discovery.requests.get(1));
     }
 
-    /** Where the list must be asked for, the module asks again in time as well. */
+    /** Guards against a retry time of 60 s, in subscribe mode, that delays calls after failures. */
     @Test
-    void aListThatMustBeAskedForIsInHandInTimeToo() throws Exception {
+    void anUpdateInSubscribeModeArrivesInTimeAfterFailedCalls() throws Exception {
         extraSettings = "\"registry-mode\":\"subscribe\",\"rules\":{\"ask-within-s\":60},";
-        AtomicLong back = new AtomicLong();
-        Turn failing = DiscoveryTest::reset;
-        startWith(
-                discovery(
+        AtomicLong recoveredAt = new AtomicLong();
+        CallHandler failing = DiscoveryTest::reset;
+        startWithDiscovery(
+                discoveryServer(
                         failing,
                         failing,
                         failing,
                         (socket, out) -> {
-                            back.set(System.nanoTime());
-                            hang(socket, out);
+                            recoveredAt.set(System.nanoTime());
+                            holdOpen(socket, out);
                         },
                         (socket, out) -> {
-                            tell(out, change(2) + "\n");
-                            hang(socket, out);
+                            respond(out, cacheAdded(2) + "\n");
+                            holdOpen(socket, out);
                         }));
-        untilInUse();
-        long millis = (System.nanoTime() - back.get()) / 1_000_000;
+        awaitCacheInUse();
+        long millis = (System.nanoTime() - recoveredAt.get()) / 1_000_000;
         assertTrue(
                 millis <= TimeBudget.NOTIFIED_MILLIS - TimeBudget.NOTIFIED_SLACK_MILLIS / 2,
-                "in hand after " + millis);
+                "notified after " + millis);
     }
 
-    /**
-     * A real limit on the process: clients that say nothing hold all that it may, and discovery
-     * comes back.
-     */
+    /** Guards against idle clients that, under a real ulimit, leave no descriptor for discovery. */
     @Test
     void idleClientsThatFillTheDescriptorsDoNotKeepTheListAway() throws Exception {
         maxSockets = 96;
-        CountDownLatch up = new CountDownLatch(1);
-        AtomicLong told = new AtomicLong();
-        startWith(
-                discovery(
+        CountDownLatch discoveryUp = new CountDownLatch(1);
+        AtomicLong updateSentAt = new AtomicLong();
+        startWithDiscovery(
+                discoveryServer(
                         (socket, out) -> {
-                            if (up.getCount() > 0) {
+                            if (discoveryUp.getCount() > 0) {
                                 reset(socket, out);
                             } else {
-                                tell(out, change(2) + "\n");
-                                told.compareAndSet(0, System.nanoTime());
-                                hang(socket, out);
+                                respond(out, cacheAdded(2) + "\n");
+                                updateSentAt.compareAndSet(0, System.nanoTime());
+                                holdOpen(socket, out);
                             }
                         }));
         proxy.stop();
@@ -329,30 +324,33 @@
                         endpointJson("c", cache.address(), "cache", "Ready"),
                         endpointJson("o", origin.address(), "origin", "Ready")),
                 discovery.address());
-        String classes = System.getProperty("java.class.path");
-        // The program is one file; here each of its libraries is one, and is held open.
-        long limit = maxSockets + classes.split(File.pathSeparator).length;
+        String classPath = System.getProperty("java.class.path");
+        // The shipped program is one file; in the test each library on the class path is a file of
+        // its own that stays open.
+        long limit = maxSockets + classPath.split(File.pathSeparator).length;
         Process process = startProcessAfter("ulimit -n " + limit);
         BufferedReader log = logOf(process);
         int port = portFromLog(log);
         daemon(
                 () -> {
                     while (log.readLine() != null) {
-                        Thread.onSpinWait(); // Its log is taken, so that it never waits for that.
+                        // Drains the log, so that the process never blocks on writing it.
+                        Thread.onSpinWait();
                     }
                     return null;
                 });
-        List<Socket> idle = new ArrayList<>();
-        Thread crowd =
+        List<Socket> sockets = new ArrayList<>();
+        Thread idleClients =
                 daemon(
                         () -> {
                             while (true) {
-                                // More than the process may hold, opened anew as it ends them.
-                                idle.removeIf(Socket::isClosed);
-                                for (int i = idle.size(); i < 150; i++) {
-                                    idle.add(new Socket(InetAddress.getLoopbackAddress(), port));
+                                // More connections than the process may hold, reopened as it closes
+                                // them.
+                                sockets.removeIf(Socket::isClosed);
+                                for (int i = sockets.size(); i < 150; i++) {
+                                    sockets.add(new Socket(InetAddress.getLoopbackAddress(), port));
                                 }
-                                for (Socket each : idle) {
+                                for (Socket each : sockets) {
                                     each.setSoTimeout(1);
                                     try {
                                         if (each.getInputStream().read() < 0) {
@@ -366,25 +364,25 @@
                                 }
                             }
                         });
-        waitUntil(() -> idle.size() >= 150);
+        waitUntil(() -> sockets.size() >= 150);
         int calls = discovery.requests.size();
         waitUntil(() -> discovery.requests.size() >= calls + 3);
-        long back = System.nanoTime();
-        up.countDown();
-        waitUntil(() -> told.get() > 0);
-        long millis = (told.get() - back) / 1_000_000;
-        assertTrue(millis <= TimeBudget.NOTIFIED_MILLIS, "the watch is back after " + millis);
+        long recoveredAt = System.nanoTime();
+        discoveryUp.countDown();
+        waitUntil(() -> updateSentAt.get() > 0);
+        long millis = (updateSentAt.get() - recoveredAt) / 1_000_000;
+        assertTrue(millis <= TimeBudget.NOTIFIED_MILLIS, "the watch is open again after " + millis);
         int code = 0;
         while (code == 0) {
-            code = oneRead(port);
+            code = readStatus(port);
         }
-        assertEquals(200, code, "what is taken finds a descriptor for its node");
+        assertEquals(200, code, "an accepted request gets a descriptor for its node");
         assertEquals(1, cache.requests.size());
-        assertTrue(crowd.isAlive(), "the crowd has stayed");
+        assertTrue(idleClients.isAlive(), "the idle clients keep reconnecting");
     }
 
-    /** The answer's code, or 0 where one of the crowd was faster. */
-    private int oneRead(int port) throws IOException {
+    /** The status code, or 0 if an idle client took the free descriptor first. */
+    private int readStatus(int port) throws IOException {
         try (Socket client = new Socket(InetAddress.getLoopbackAddress(), port)) {
             client.setSoTimeout(500);
             send(client, "GET /view/1", ttlHeader(300), "");
--- a/src/test/java/cairnbridge/proxy/OperatorsTest.java
+++ b/src/test/java/cairnbridge/proxy/OperatorsTest.java
@@ -28,36 +28,36 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What staff call and what the proxy then does, on real sockets. */
+/** Commands of the admin endpoint and their effect on the proxy, on real sockets. */
 class OperatorsTest extends ProxyTestSupport {
     @BeforeEach
-    void openADoor() {
+    void enableAdminServer() {
         extraConfig = "\"admin_addr\":\"127.0.0.1:0\",";
     }
 
-    private Socket caller(ProxyServer at) throws IOException {
-        InetSocketAddress door = at.adminAddress();
-        Socket caller = new Socket(door.getAddress(), door.getPort());
-        opened.add(caller);
-        return caller;
+    private Socket connectAdmin(ProxyServer server) throws IOException {
+        InetSocketAddress adminAddress = server.adminAddress();
+        Socket socket = new Socket(adminAddress.getAddress(), adminAddress.getPort());
+        opened.add(socket);
+        return socket;
     }
 
-    private String call(ProxyServer at, String line) throws IOException {
-        Socket caller = caller(at);
-        caller.getOutputStream().write((line + "\n").getBytes(StandardCharsets.ISO_8859_1));
-        return new String(caller.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
+    private String callAdmin(ProxyServer server, String command) throws IOException {
+        Socket socket = connectAdmin(server);
+        socket.getOutputStream().write((command + "\n").getBytes(StandardCharsets.ISO_8859_1));
+        return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
     }
 
-    private String call(String line) throws IOException {
-        return call(proxy, line);
+    private String callAdmin(String command) throws IOException {
+        return callAdmin(proxy, command);
     }
 
-    private boolean says(String figure) throws IOException {
-        return call("stats").contains("\nlb." + figure + "\n");
+    private boolean hasMetric(String metric) throws IOException {
+        return callAdmin("stats").contains("\nlb." + metric + "\n");
     }
 
     @Test
-    void withoutAnAddressThereIsNoDoor() throws Exception {
+    void withoutAnAdminAddressThereIsNoAdminServer() throws Exception {
         extraConfig = "";
         start();
         assertNull(proxy.adminAddress());
@@ -73,82 +73,89 @@
                 "maint-off nobody",
                 "STATUS"
             })
-    void whatIsNoCallOrNamesNobodyIsRefused(String line) throws Exception {
+    void unknownCommandsAndUnknownNodesAreRefused(String command) throws Exception {
         start();
-        String answer = call(line);
-        assertEquals(line.startsWith("status") ? "200" : "400", answer.substring(0, 3), answer);
-        assertTrue(call("x".repeat(5000)).isEmpty() || call("x".repeat(600)).startsWith("400"));
-        assertTrue(call("status").startsWith("200"));
+        String answer = callAdmin(command);
+        assertEquals(command.startsWith("status") ? "200" : "400", answer.substring(0, 3), answer);
+        assertTrue(
+                callAdmin("x".repeat(5000)).isEmpty()
+                        || callAdmin("x".repeat(600)).startsWith("400"));
+        assertTrue(callAdmin("status").startsWith("200"));
     }
 
     /**
-     * Guards against a call of which a part is carried out, or that says yes to what is not kept.
+     * Guards against carrying out one of two commands sent at once, and against confirming a
+     * command whose marker file was not written.
      */
     @Test
-    void whatIsNotOneCallOrCannotBeKeptChangesNothing() throws Exception {
+    void twoCommandsAtOnceOrOneThatCannotBePersistedChangeNothing() throws Exception {
         start();
-        assertEquals("400 one line to a connection\n", call("maint-on c\nmaint-off o"));
-        Path away = folder.resolveSibling(folder.getFileName() + "-away");
-        Files.move(folder, away);
-        assertEquals("400 cannot be kept, nothing has changed\n", call("maint-on c"));
-        Files.move(away, folder);
+        assertEquals("400 one line to a connection\n", callAdmin("maint-on c\nmaint-off o"));
+        Path movedFolder = folder.resolveSibling(folder.getFileName() + "-away");
+        Files.move(folder, movedFolder);
+        assertEquals("400 cannot be kept, nothing has changed\n", callAdmin("maint-on c"));
+        Files.move(movedFolder, folder);
         assertEquals(200, statusCode(sendRequest("GET /view/1", ttlHeader(800), "")));
-        assertTrue(says("hosts_down:0|g"));
-        IOException taken =
+        assertTrue(hasMetric("hosts_down:0|g"));
+        IOException addressInUse =
                 assertThrows(
                         IOException.class,
                         () -> new AdminServer(proxy.adminAddress(), proxy, null));
-        assertTrue(taken.getMessage().startsWith("cannot listen on "), taken.getMessage());
+        assertTrue(
+                addressInUse.getMessage().startsWith("cannot listen on "),
+                addressInUse.getMessage());
     }
 
-    /** Guards against a node freed because its mark is not as this program writes it. */
+    /** Guards against releasing a node from maintenance because its marker file is damaged. */
     @Test
-    void marksThatAreForeignOrSpoiltHoldTheirNodeOrSayNothing() throws Exception {
+    void aDamagedMarkerFileKeepsItsNodeInMaintenanceAndUnknownFilesAreIgnored() throws Exception {
         Files.writeString(folder.resolve("hold-" + Long.toHexString(Fnv1a.hash("c"))), "\0half");
         Files.writeString(folder.resolve("hold-whom"), "c");
         Files.writeString(folder.resolve("ready-99999999999999999-1"), "");
         start();
         assertEquals(503, statusCode(sendRequest("GET /view/1", ttlHeader(800), "")));
-        assertTrue(call("maint-off c").startsWith("200"));
+        assertTrue(callAdmin("maint-off c").startsWith("200"));
         assertEquals(200, statusCode(sendRequest("GET /view/1", ttlHeader(800), "")));
     }
 
     @Test
-    void callersWhoHoldTheirPlaceKeepNobodyWaiting() throws Exception {
+    void stalledAdminConnectionsDoNotDelayOtherCallers() throws Exception {
         start();
         for (int i = 0; i < 100; i++) {
-            caller(proxy).getOutputStream().write("stat".getBytes(StandardCharsets.ISO_8859_1));
+            connectAdmin(proxy)
+                    .getOutputStream()
+                    .write("stat".getBytes(StandardCharsets.ISO_8859_1));
         }
-        long called = System.nanoTime();
-        assertTrue(call("status").startsWith("200"));
-        assertTrue(System.nanoTime() - called < 1_000_000_000L);
+        long startNanos = System.nanoTime();
+        assertTrue(callAdmin("status").startsWith("200"));
+        assertTrue(System.nanoTime() - startNanos < 1_000_000_000L);
     }
 
     @Test
-    void theFiguresCountEachOpAndPushOnceAndNothingOfTheRehearsal() throws Exception {
-        CountDownLatch late = new CountDownLatch(1);
+    void metricsCountEachRequestAndAttemptOnceAndNothingOfTheWarmUp() throws Exception {
+        CountDownLatch slowResponse = new CountDownLatch(1);
         cacheHandler =
                 request -> {
                     if (request.contains("/slow")) {
-                        late.await();
+                        slowResponse.await();
                     }
                     return request.contains("/absent") ? MISS : HIT;
                 };
         originHandler = request -> request.startsWith("PUT") ? "500 Ill||" : "200 OK||fetched";
         start();
-        assertTrue(says("backend_calls:0|c") && says("inflight:0|g"));
+        assertTrue(hasMetric("backend_calls:0|c") && hasMetric("inflight:0|g"));
         assertEquals(200, statusCode(sendRequest("GET /view/1", ttlHeader(800), "")));
         assertEquals(200, statusCode(sendRequest("GET /view/absent", ttlHeader(800), "")));
         assertEquals(502, statusCode(sendRequest("PUT /loan/1", ttlHeader(800), "v")));
         assertEquals(400, statusCode(sendRequest("GET /view/1", "", "")));
         Socket slow = connectClient();
         send(slow, "GET /view/slow", ttlHeader(5000), "");
-        waitUntil(() -> says("backend_calls:5|c"));
-        assertTrue(says("inflight:1|g"));
-        late.countDown();
+        waitUntil(() -> hasMetric("backend_calls:5|c"));
+        assertTrue(hasMetric("inflight:1|g"));
+        slowResponse.countDown();
         assertEquals(200, statusCode(readMessage(slow)));
-        waitUntil(() -> says("inflight:0|g"));
-        String stats = call("stats");
+        waitUntil(() -> hasMetric("inflight:0|g"));
+        String stats = callAdmin("stats");
         assertEquals(
                 """
                 lb.calls.view.success:3|c
@@ -171,79 +178,82 @@
     }
 
     @Test
-    void aNodeTakenOutGetsNothingWhateverTheListSaysUntilItIsPutBack() throws Exception {
-        CountDownLatch change = new CountDownLatch(1);
-        StandInServer out = new StandInServer(request -> HIT);
+    void aNodeInMaintenanceGetsNoRequestsWhateverTheListSaysUntilItIsReleased() throws Exception {
+        CountDownLatch sendUpdate = new CountDownLatch(1);
+        StandInServer maintained = new StandInServer(request -> HIT);
         discoveryHandler =
                 request -> {
-                    change.await();
+                    sendUpdate.await();
                     return "200 OK||"
                             + endpointListJson(
-                                    2, false, endpointJson("out", out.address(), "cache", "Ready"))
+                                    2,
+                                    false,
+                                    endpointJson("out", maintained.address(), "cache", "Ready"))
                             + "\n";
                 };
-        start(endpointJson("out", out.address(), "cache", "Ready"));
-        for (int key = 0; out.requests.isEmpty(); key++) {
+        start(endpointJson("out", maintained.address(), "cache", "Ready"));
+        for (int key = 0; maintained.requests.isEmpty(); key++) {
             assertEquals(200, statusCode(sendRequest("GET /view/" + key, ttlHeader(800), "")));
         }
         assertTrue(
-                call("maint-on out").startsWith("200") && call("maint-on out").startsWith("200"));
-        waitUntil(() -> out.endedConnections.get() == out.connections.size());
-        waitUntil(() -> says("hosts_down:1|g"));
-        out.requests.clear();
-        change.countDown();
+                callAdmin("maint-on out").startsWith("200")
+                        && callAdmin("maint-on out").startsWith("200"));
+        waitUntil(() -> maintained.endedConnections.get() == maintained.connections.size());
+        waitUntil(() -> hasMetric("hosts_down:1|g"));
+        maintained.requests.clear();
+        sendUpdate.countDown();
         for (int key = 0; key < 40; key++) {
             assertEquals(200, statusCode(sendRequest("GET /view/" + key, ttlHeader(800), "")));
         }
-        assertTrue(out.requests.isEmpty());
-        assertTrue(call("maint-off out").startsWith("200"));
-        for (int key = 0; out.requests.isEmpty(); key++) {
+        assertTrue(maintained.requests.isEmpty());
+        assertTrue(callAdmin("maint-off out").startsWith("200"));
+        for (int key = 0; maintained.requests.isEmpty(); key++) {
             assertEquals(200, statusCode(sendRequest("GET /view/" + key, ttlHeader(800), "")));
         }
     }
 
     /**
-     * Guards against a hold that the younger of two processes refuses as it starts, and that then
-     * nobody has.
+     * Guards against losing a maintenance mark during a handover: a starting successor without a
+     * list must not refuse a node that is not listed yet.
      */
     @Test
-    void aHoldThatComesBeforeAnyListIsTaken() throws Exception {
+    void maintenanceSetBeforeAnyListIsApplied() throws Exception {
         cache = new StandInServer(request -> cacheHandler.apply(request));
         origin = new StandInServer(request -> originHandler.apply(request));
         discovery = new StandInServer(request -> discoveryHandler.apply(request));
-        CountDownLatch change = new CountDownLatch(1);
+        CountDownLatch sendUpdate = new CountDownLatch(1);
         discoveryHandler =
                 request -> {
-                    change.await();
+                    sendUpdate.await();
                     return "200 OK||"
                             + endpointListJson(
                                     2, true, endpointJson("c", cache.address(), "cache", "Ready"))
                             + "\n";
                 };
         proxy = startServer(endpointListJson(1, true));
-        assertTrue(call("maint-on c").startsWith("200"));
-        change.countDown();
-        waitUntil(() -> says("hosts_listed:1|g"));
+        assertTrue(callAdmin("maint-on c").startsWith("200"));
+        sendUpdate.countDown();
+        waitUntil(() -> hasMetric("hosts_listed:1|g"));
         assertEquals(503, statusCode(sendRequest("GET /view/1", ttlHeader(800), "")));
         assertTrue(cache.requests.isEmpty());
     }
 
     @Test
-    void aHoldOutlivesTheProcessAndReachesAnotherThatRuns() throws Exception {
-        StandInServer out = new StandInServer(request -> HIT);
-        start(endpointJson("out", out.address(), "cache", "Ready"));
-        assertTrue(call("maint-on out").startsWith("200"));
+    void maintenanceSurvivesARestartAndItsEndReachesOtherProcesses() throws Exception {
+        StandInServer maintained = new StandInServer(request -> HIT);
+        start(endpointJson("out", maintained.address(), "cache", "Ready"));
+        assertTrue(callAdmin("maint-on out").startsWith("200"));
         proxy.stop();
-        String known =
+        String configuredList =
                 endpointListJson(
                         1,
                         true,
-                        endpointJson("out", out.address(), "cache", "Ready"),
+                        endpointJson("out", maintained.address(), "cache", "Ready"),
                         endpointJson("o", origin.address(), "origin", "Ready"));
-        proxy = startServer(known);
+        proxy = startServer(configuredList);
         assertEquals(503, statusCode(sendRequest("GET /view/1", ttlHeader(800), "")));
-        ProxyServer younger = startServer(known);
-        assertTrue(call(younger, "maint-off out").startsWith("200"));
+        ProxyServer other = startServer(configuredList);
+        assertTrue(callAdmin(other, "maint-off out").startsWith("200"));
         waitUntil(() -> statusCode(sendRequest("GET /view/1", ttlHeader(800), "")) == 200);
         try (var files = Files.list(folder)) {
             assertEquals(
@@ -255,31 +265,33 @@
         }
     }
 
-    /**
-     * Guards against a new version that has to learn anew, under load, which node answers nothing.
-     */
+    /** Guards against a new version that must find out again, under load, which nodes fail. */
     @Test
-    void aProcessThatServesKeepsWhatItHasLearntForTheNextBesideIt() throws Exception {
+    void aServingProcessWritesItsWarmStartFileForItsSuccessor() throws Exception {
         originHandler = request -> "500 Ill||";
         cacheHandler = request -> "500 Ill||";
         start();
         for (int i = 0; i < 20; i++) {
             sendRequest("GET /view/" + i, ttlHeader(800), "");
         }
-        Path kept = folder.resolve("learnt");
+        Path warmStartFile = folder.resolve("learnt");
         waitUntil(
                 () ->
-                        Files.exists(kept)
-                                && Files.readString(kept).matches(".*\"share\":0\\.[0-3].*"));
+                        Files.exists(warmStartFile)
+                                && Files.readString(warmStartFile)
+                                        .matches(".*\"share\":0\\.[0-3].*"));
     }
 
-    /** Guards against a start that fails and then waits, or complains of itself. */
+    /** Guards against a failed start that keeps the process running or logs a stack trace. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void anAddressThatIsTakenEndsTheStartWithOneLine(boolean door) throws Exception {
+    void anAddressInUseFailsTheStartWithOneLogLine(boolean adminAddressInUse) throws Exception {
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            port = door ? 0 : taken.getLocalPort();
-            extraConfig = "\"admin_addr\":\"127.0.0.1:" + (door ? taken.getLocalPort() : 0) + "\",";
+            port = adminAddressInUse ? 0 : taken.getLocalPort();
+            extraConfig =
+                    "\"admin_addr\":\"127.0.0.1:"
+                            + (adminAddressInUse ? taken.getLocalPort() : 0)
+                            + "\",";
             config(endpointListJson(1, true), "127.0.0.1:9");
             Process process = startProcess();
             List<String> lines =
@@ -294,42 +306,48 @@
         }
     }
 
-    /** Guards against two processes that each keep to the budget and together do not. */
+    /**
+     * Guards against two processes that each stay within the descriptor budget but together exceed
+     * it.
+     */
     @Test
-    void whatAnotherProcessHoldsCountsInTheBudget() throws Exception {
+    void descriptorsHeldByAnotherProcessCountAgainstTheBudget() throws Exception {
         maxSockets = 128;
-        long other = ProcessHandle.current().parent().orElseThrow().pid();
+        long otherProcessId = ProcessHandle.current().parent().orElseThrow().pid();
         start();
         assertEquals(200, statusCode(sendRequest("GET /view/1", ttlHeader(800), "")));
-        Path mark = folder.resolve("runs-" + other + "-1");
-        Files.writeString(mark, "128");
-        waitUntil(() -> !serves());
+        Path otherMarker = folder.resolve("runs-" + otherProcessId + "-1");
+        Files.writeString(otherMarker, "128");
+        waitUntil(() -> !isServing());
         try (var files = Files.list(folder)) {
-            Path own =
+            Path ownMarker =
                     files.filter(
                                     file ->
                                             file.getFileName().toString().startsWith("runs-")
-                                                    && !file.equals(mark))
+                                                    && !file.equals(otherMarker))
                             .findFirst()
                             .orElseThrow();
-            waitUntil(() -> Integer.parseInt("0" + Files.readString(own)) > 0);
+            waitUntil(() -> Integer.parseInt("0" + Files.readString(ownMarker)) > 0);
         }
-        Files.delete(mark);
-        waitUntil(this::serves);
+        Files.delete(otherMarker);
+        waitUntil(this::isServing);
     }
 
-    private boolean serves() {
+    private boolean isServing() {
         try {
             String answer = sendRequest("GET /view/1", ttlHeader(800), "");
             return answer != null && statusCode(answer) == 200;
         } catch (IOException e) {
-            return false; // Refused at once.
+            return false; // Closed or reset at once, without a response.
         }
     }
 
-    /** Guards against clients that meet a closed door while one process takes another's place. */
+    /**
+     * Guards against refused or closed client connections while a successor replaces the running
+     * process.
+     */
     @Test
-    void aYoungerProcessAtTheSameAddressTakesTheClientsOver() throws Exception {
+    void aSuccessorAtTheSameAddressTakesTheClientsOver() throws Exception {
         extraConfig = "";
         start();
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -338,73 +356,74 @@
         config(
                 endpointListJson(1, true, endpointJson("c", cache.address(), "cache", "Ready")),
                 discovery.address());
-        Process old = startProcess();
-        BufferedReader oldLog = logOf(old);
-        assertEquals(port, portFromLog(oldLog));
-        Socket kept = new Socket(InetAddress.getLoopbackAddress(), port);
-        opened.add(kept);
-        send(kept, "GET /view/1", ttlHeader(800).replace("9b1f", "1"), "");
-        assertFalse(readMessage(kept).contains("Connection: close"));
-        Process young = startProcess();
-        BufferedReader youngLog = logOf(young);
+        Process predecessor = startProcess();
+        BufferedReader predecessorLog = logOf(predecessor);
+        assertEquals(port, portFromLog(predecessorLog));
+        Socket persistent = new Socket(InetAddress.getLoopbackAddress(), port);
+        opened.add(persistent);
+        send(persistent, "GET /view/1", ttlHeader(800).replace("9b1f", "1"), "");
+        assertFalse(readMessage(persistent).contains("Connection: close"));
+        Process successor = startProcess();
+        BufferedReader successorLog = logOf(successor);
         AtomicInteger served = new AtomicInteger();
-        AtomicBoolean over = new AtomicBoolean();
-        List<String> turnedBack = new CopyOnWriteArrayList<>();
-        Thread asking =
+        AtomicBoolean stopped = new AtomicBoolean();
+        List<String> failures = new CopyOnWriteArrayList<>();
+        Thread clients =
                 daemon(
                         () -> {
-                            for (int i = 0; !over.get(); i++) {
-                                try (Socket each =
+                            for (int i = 0; !stopped.get(); i++) {
+                                try (Socket client =
                                         new Socket(InetAddress.getLoopbackAddress(), port)) {
                                     send(
-                                            each,
+                                            client,
                                             "GET /view/" + i,
                                             ttlHeader(800).replace("9b1f", "x" + i),
                                             "");
-                                    if (readMessage(each)
-                                            == null) { // A nack is an answer: the machine may be
-                                        // short of time.
-                                        turnedBack.add("request " + i + ": closed unread");
+                                    // A rejection counts as a response: the machine may be
+                                    // overloaded.
+                                    if (readMessage(client) == null) {
+                                        failures.add(
+                                                "request " + i + ": closed without a response");
                                     }
                                 } catch (IOException e) {
-                                    turnedBack.add("request " + i + ": " + e);
+                                    failures.add("request " + i + ": " + e);
                                 }
                                 served.incrementAndGet();
                             }
                             return null;
                         });
-        assertEquals(port, portFromLog(youngLog));
-        sendSignal(old, "TERM");
-        awaitLogLine(oldLog, "drains");
-        awaitLogLine(oldLog, "hands over to its successor");
-        send(kept, "GET /view/1", ttlHeader(800).replace("9b1f", "2"), "");
-        assertTrue(readMessage(kept).contains("Connection: close"));
-        awaitLogLine(oldLog, "stopped, 0 requests in flight, invariant violations: {}");
-        old.waitFor();
+        assertEquals(port, portFromLog(successorLog));
+        sendSignal(predecessor, "TERM");
+        awaitLogLine(predecessorLog, "drains");
+        awaitLogLine(predecessorLog, "hands over to its successor");
+        send(persistent, "GET /view/1", ttlHeader(800).replace("9b1f", "2"), "");
+        assertTrue(readMessage(persistent).contains("Connection: close"));
+        awaitLogLine(predecessorLog, "stopped, 0 requests in flight, invariant violations: {}");
+        predecessor.waitFor();
         int before = served.get();
         waitUntil(() -> served.get() > before + 20);
-        over.set(true);
-        asking.join();
-        assertEquals(List.of(), turnedBack, "of " + served);
+        stopped.set(true);
+        clients.join();
+        assertEquals(List.of(), failures, "of " + served);
     }
 
     @Test
-    void standbySendsClientsAwayAndActiveTakesThemAgain() throws Exception {
+    void standbyClosesClientConnectionsAndActiveAcceptsThemAgain() throws Exception {
         start();
         List<Socket> clients = new ArrayList<>(List.of(connectClient(), connectClient()));
         for (Socket each : clients) {
             send(each, "GET /view/1", ttlHeader(800), "");
             assertFalse(readMessage(each).contains("Connection: close"));
         }
-        assertTrue(call("standby").startsWith("200"));
-        assertTrue(call("status").startsWith("400"));
+        assertTrue(callAdmin("standby").startsWith("200"));
+        assertTrue(callAdmin("status").startsWith("400"));
         assertEquals(503, statusCode(sendRequest("GET /-/ready", "", "")));
         send(clients.get(0), "GET /view/1", ttlHeader(800), "");
         String answer = readMessage(clients.get(0));
         assertEquals(200, statusCode(answer));
         assertTrue(answer.contains("Connection: close"), answer);
         assertEquals(-1, clients.get(1).getInputStream().read());
-        assertTrue(call("active").startsWith("200"));
+        assertTrue(callAdmin("active").startsWith("200"));
         assertEquals(200, statusCode(sendRequest("GET /-/ready", "", "")));
         assertFalse(sendRequest("GET /view/1", ttlHeader(800), "").contains("Connection: close"));
     }
