--- a/src/main/java/cairnbridge/propagation/Downstream.java
+++ b/src/main/java/cairnbridge/propagation/Downstream.java
@@ -16,7 +16,7 @@
 
     private record InFlight(Position position, int bytes) {}
 
-    private record ReportedSite(SiteProgress progress, long heardAt) {}
+    private record ReportedSite(SiteProgress progress, long reportedAt) {}
 
     final MemberId id;
     private final PropagationSettings settings;
@@ -28,32 +28,32 @@
     private Position fragmentedChange = Position.NONE;
     private int nextFragment;
     private int inFlightBytes;
-    private long resendAt = Long.MAX_VALUE;
-    private long resendSpan;
-    private long heardAt;
-    private long sentAt;
+    private long retransmitAt = Long.MAX_VALUE;
+    private long retransmitTimeout;
+    private long lastReportAt;
+    private long lastSentAt;
     private double credit;
     private long generation;
     private long reportNumber = -1;
-    private Position repairBegan = Position.NONE;
+    private Position repairStart = Position.NONE;
     private Position repairedUpTo = Position.NONE;
-    private Position repairTo = Position.NONE;
-    private long repairAgainAt;
-    private long creditAt;
+    private Position repairEnd = Position.NONE;
+    private long nextRepairAt;
+    private long creditUpdatedAt;
 
     Downstream(MemberId id, PropagationSettings settings, long now) {
         this.id = id;
         this.settings = settings;
-        resendSpan = settings.flow().retransmitTimeout();
+        retransmitTimeout = settings.flow().retransmitTimeout();
         credit = settings.flow().burstBytes();
-        creditAt = now;
-        heardAt = now;
-        sentAt = now - settings.heartbeat().interval();
+        creditUpdatedAt = now;
+        lastReportAt = now;
+        lastSentAt = now - settings.heartbeat().interval();
     }
 
     /** Handles a report; whether anything in it is new. One that was overtaken changes nothing. */
     boolean handleReport(Message.Report report, long now) {
-        heardAt = now;
+        lastReportAt = now;
         boolean isOvertaken = report.generation() == generation && report.sequence() < reportNumber;
         if (isOvertaken) {
             return false;
@@ -68,8 +68,8 @@
                 news |= before == null || !before.progress.equals(site);
             }
         }
-        acknowledge(report.held(), now);
-        repairUpTo(report.missingTo(), now);
+        acknowledge(report.receivedUpTo(), now);
+        scheduleRepair(report.missingTo(), now);
         return news;
     }
 
@@ -78,28 +78,28 @@
         boolean isFurther = position.isAfter(acknowledged);
         acknowledged = position;
         if (isBehind || position.isAfter(sentUpTo)) {
-            sendAgainFrom(position);
+            rewindTo(position);
         }
         while (!inFlight.isEmpty() && !inFlight.peek().position.isAfter(position)) {
             inFlightBytes -= inFlight.poll().bytes;
         }
         if (isFurther) {
-            resendSpan = settings.flow().retransmitTimeout();
-            resendAt = inFlight.isEmpty() ? Long.MAX_VALUE : now + resendSpan;
+            retransmitTimeout = settings.flow().retransmitTimeout();
+            retransmitAt = inFlight.isEmpty() ? Long.MAX_VALUE : now + retransmitTimeout;
         }
     }
 
     /** What was lost is sent once more, and again only when it has had time to be received. */
-    private void repairUpTo(Position missingTo, long now) {
-        boolean isSame = acknowledged.equals(repairBegan) && now < repairAgainAt;
+    private void scheduleRepair(Position missingTo, long now) {
+        boolean isSame = acknowledged.equals(repairStart) && now < nextRepairAt;
         if (!missingTo.isAfter(acknowledged) || isSame) {
             return;
         }
-        repairBegan = acknowledged;
+        repairStart = acknowledged;
         repairedUpTo = acknowledged;
-        repairTo = missingTo;
-        repairAgainAt = now + settings.flow().retransmitTimeout() / 2;
-        resendAt = Math.max(resendAt, now + resendSpan);
+        repairEnd = missingTo;
+        nextRepairAt = now + settings.flow().retransmitTimeout() / 2;
+        retransmitAt = Math.max(retransmitAt, now + retransmitTimeout);
     }
 
     /** All up to here has been repaired. */
@@ -109,7 +109,7 @@
 
     /** Whether a change is one of those that are to be sent once more. */
     boolean needsRepair(Change change) {
-        return !change.position().isAfter(repairTo);
+        return !change.position().isAfter(repairEnd);
     }
 
     /** A change was sent once more. */
@@ -118,39 +118,39 @@
         repairedUpTo = fragment.position();
     }
 
-    private void sendAgainFrom(Position position) {
+    private void rewindTo(Position position) {
         sentUpTo = position;
         nextFragment = 0;
         inFlight.clear();
         inFlightBytes = 0;
-        resendAt = Long.MAX_VALUE;
+        retransmitAt = Long.MAX_VALUE;
     }
 
     /** Begins again after the last change acknowledged, where none was for too long. */
-    void checkAcknowledged(long now) {
-        if (now >= resendAt) {
-            sendAgainFrom(acknowledged);
-            resendSpan = Math.min(2 * resendSpan, settings.flow().maxRetransmitTimeout());
+    void rewindOnTimeout(long now) {
+        if (now >= retransmitAt) {
+            rewindTo(acknowledged);
+            retransmitTimeout = Math.min(2 * retransmitTimeout, settings.flow().maxRetransmitTimeout());
         }
     }
 
     /** Whether a fragment of this many bytes may be sent now for the first time. */
-    boolean maySend(int bytes, long now) {
+    boolean canSend(int bytes, long now) {
         return hasCredit(bytes, now) && !isWindowFull(bytes);
     }
 
     /** Whether the budget allows for this many bytes now. */
     boolean hasCredit(int bytes, long now) {
-        double earned = (double) (now - creditAt) * settings.flow().bytesPerSecond() / Ticks.SECOND;
+        double earned = (double) (now - creditUpdatedAt) * settings.flow().bytesPerSecond() / Ticks.SECOND;
         credit = Math.min(settings.flow().burstBytes(), credit + earned);
-        creditAt = now;
+        creditUpdatedAt = now;
         return credit >= bytes;
     }
 
     /** When there will be credit again for this many bytes. */
-    long creditDue(int bytes) {
+    long creditAvailableAt(int bytes) {
         double missing = bytes - credit;
-        return creditAt
+        return creditUpdatedAt
                 + (long) Math.ceil(missing * Ticks.SECOND / settings.flow().bytesPerSecond());
     }
 
@@ -163,7 +163,7 @@
         inFlight.add(new InFlight(fragment.position(), fragment.size()));
         inFlightBytes += fragment.size();
         if (fragment.index() + 1 == fragment.count()) {
-            resendAt = Math.min(resendAt, now + resendSpan);
+            retransmitAt = Math.min(retransmitAt, now + retransmitTimeout);
             sentUpTo = fragment.position();
             nextFragment = 0;
         } else {
@@ -175,7 +175,7 @@
     /** A frame costs credit as well, which may become negative by one. */
     void frameSent(int bytes, long now) {
         credit -= bytes;
-        sentAt = now;
+        lastSentAt = now;
     }
 
     Position sentUpTo() {
@@ -196,15 +196,15 @@
     }
 
     long heartbeatDue() {
-        return sentAt + settings.heartbeat().interval();
+        return lastSentAt + settings.heartbeat().interval();
     }
 
-    long resendDue() {
-        return resendAt;
+    long retransmitDue() {
+        return retransmitAt;
     }
 
     long dropDue() {
-        return heardAt + settings.heartbeat().downstreamTimeout();
+        return lastReportAt + settings.heartbeat().downstreamTimeout();
     }
 
     List<Rejection> rejections() {
@@ -214,7 +214,7 @@
     /** What it reported lately. */
     List<SiteProgress> sites(long now) {
         sites.values()
-                .removeIf(each -> now - each.heardAt >= settings.heartbeat().downstreamTimeout());
+                .removeIf(each -> now - each.reportedAt >= settings.heartbeat().downstreamTimeout());
         return sites.values().stream().map(ReportedSite::progress).toList();
     }
 }
--- a/src/main/java/cairnbridge/propagation/Downstreams.java
+++ b/src/main/java/cairnbridge/propagation/Downstreams.java
@@ -18,7 +18,7 @@
     private final RetainedLog log;
     private final PropagationHost host;
     private final Map<MemberId, Downstream> downstreams = new LinkedHashMap<>();
-    private long rejectedAsTooShort;
+    private long logTooShortRejections;
 
     /** Downstreams to be served at once, besides those whose timer is due. */
     private final Set<Downstream> ready = new LinkedHashSet<>();
@@ -26,8 +26,8 @@
     /** No downstream has to be served before, unless something new is to be passed on. */
     private long due = Long.MAX_VALUE;
 
-    private Position servedUpTo = Position.NONE;
-    private boolean servedPassOn;
+    private Position servedPosition = Position.NONE;
+    private boolean servedForwarding;
 
     Downstreams(PropagationSettings settings, RetainedLog log, PropagationHost host) {
         this.settings = settings;
@@ -40,8 +40,8 @@
     }
 
     /** How often a downstream lacked changes that the log no longer has. */
-    long rejectedAsTooShort() {
-        return rejectedAsTooShort;
+    long logTooShortRejections() {
+        return logTooShortRejections;
     }
 
     /** The most that is on its way to any downstream. */
@@ -64,7 +64,7 @@
         boolean news = downstream.handleReport(report, now);
         ready.add(downstream);
         if (log.isTooShortFor(downstream.acknowledged())) {
-            rejectedAsTooShort++;
+            logTooShortRejections++;
             remove(from);
             reject(from, Message.SubscriptionRejected.Reason.LOG_TOO_SHORT, heartbeat);
             return true;
@@ -95,12 +95,12 @@
 
     /** Sends those downstreams whose time has come what they may get now, or a heartbeat. */
     void serve(Message.Heartbeat heartbeat, boolean passOn, long now) {
-        boolean isAllServed = passOn == servedPassOn && servedUpTo.equals(log.last());
+        boolean isAllServed = passOn == servedForwarding && servedPosition.equals(log.last());
         if (now >= due || !isAllServed) {
             ready.addAll(downstreams.values());
             due = Long.MAX_VALUE;
-            servedUpTo = log.last();
-            servedPassOn = passOn;
+            servedPosition = log.last();
+            servedForwarding = passOn;
         }
         for (Downstream downstream : ready) {
             serve(downstream, heartbeat, passOn, now);
@@ -111,7 +111,7 @@
 
     private void serve(
             Downstream downstream, Message.Heartbeat heartbeat, boolean passOn, long now) {
-        downstream.checkAcknowledged(now);
+        downstream.rewindOnTimeout(now);
         FragmentBatch batch =
                 new FragmentBatch(
                         settings.limits().messageBytes(),
@@ -119,7 +119,7 @@
                                 send(downstream, new Message.Changes(heartbeat, fragments), now));
         repair(downstream, batch, now);
         if (passOn) {
-            passOn(downstream, batch, now);
+            forwardNew(downstream, batch, now);
         }
         batch.flush();
         if (now >= downstream.heartbeatDue()) {
@@ -143,9 +143,9 @@
                 .filter(fragment -> fragment.count() == 1);
     }
 
-    private void passOn(Downstream downstream, FragmentBatch batch, long now) {
+    private void forwardNew(Downstream downstream, FragmentBatch batch, long now) {
         Optional<Fragment> next = next(downstream);
-        while (next.isPresent() && downstream.maySend(next.get().size(), now)) {
+        while (next.isPresent() && downstream.canSend(next.get().size(), now)) {
             batch.add(next.get());
             downstream.fragmentSent(next.get(), now);
             next = next(downstream);
@@ -188,23 +188,23 @@
 
     private long dueOf(Downstream downstream, boolean passOn) {
         long first = Math.min(downstream.heartbeatDue(), downstream.dropDue());
-        first = Math.min(first, downstream.resendDue());
+        first = Math.min(first, downstream.retransmitDue());
         first = Math.min(first, repairDue(downstream));
-        return passOn ? Math.min(first, passOnDue(downstream)) : first;
+        return passOn ? Math.min(first, forwardDue(downstream)) : first;
     }
 
     private long repairDue(Downstream downstream) {
         return nextRepair(downstream)
-                .map(fragment -> downstream.creditDue(fragment.size()))
+                .map(fragment -> downstream.creditAvailableAt(fragment.size()))
                 .orElse(Long.MAX_VALUE);
     }
 
-    private long passOnDue(Downstream downstream) {
+    private long forwardDue(Downstream downstream) {
         Optional<Fragment> next = next(downstream);
         if (next.isEmpty() || downstream.isWindowFull(next.get().size())) {
             return Long.MAX_VALUE;
         }
-        return downstream.creditDue(next.get().size());
+        return downstream.creditAvailableAt(next.get().size());
     }
 
     void addProgress(ProgressTable table, long now) {
--- a/src/main/java/cairnbridge/propagation/ElapsedClock.java
+++ b/src/main/java/cairnbridge/propagation/ElapsedClock.java
@@ -20,7 +20,7 @@
     }
 
     /** What the clock is going to show at a time. */
-    long shownAt(long time) {
+    long clockTimeAt(long time) {
         return time == Long.MAX_VALUE ? time : clock + time - elapsed;
     }
 }
--- a/src/main/java/cairnbridge/propagation/FragmentAssembler.java
+++ b/src/main/java/cairnbridge/propagation/FragmentAssembler.java
@@ -9,7 +9,7 @@
  */
 final class FragmentAssembler {
     private final int maxBytes;
-    private Fragment like;
+    private Fragment current;
     private byte[][] parts;
     private int missing;
     private int bytes;
@@ -39,54 +39,54 @@
                     ? Optional.empty()
                     : Optional.of(fragment.toChange());
         }
-        if (like == null || fragment.position().isAfter(like.position())) {
-            begin(fragment);
+        if (current == null || fragment.position().isAfter(current.position())) {
+            startChange(fragment);
         }
         if (!isOfSameChange(fragment) || parts[fragment.index()] != null) {
             return Optional.empty();
         }
         if (bytes + fragment.bytes().length > maxBytes) {
-            drop();
+            reset();
             return Optional.empty();
         }
         parts[fragment.index()] = fragment.bytes();
         bytes += fragment.bytes().length;
-        return --missing > 0 ? Optional.empty() : Optional.of(finish());
+        return --missing > 0 ? Optional.empty() : Optional.of(assemble());
     }
 
     /** Forgets what is no longer needed by one who holds all up to a position. */
-    void forget(Position held) {
-        if (like != null && !like.position().isAfter(held)) {
-            drop();
+    void discardUpTo(Position held) {
+        if (current != null && !current.position().isAfter(held)) {
+            reset();
         }
     }
 
     private boolean isOfSameChange(Fragment fragment) {
-        return fragment.position().equals(like.position()) && fragment.count() == like.count();
+        return fragment.position().equals(current.position()) && fragment.count() == current.count();
     }
 
-    private void begin(Fragment fragment) {
-        like = fragment;
+    private void startChange(Fragment fragment) {
+        current = fragment;
         parts = new byte[fragment.count()][];
         missing = fragment.count();
         bytes = 0;
     }
 
-    private void drop() {
-        like = null;
+    private void reset() {
+        current = null;
         parts = null;
         bytes = 0;
     }
 
-    private Change finish() {
+    private Change assemble() {
         ByteArrayOutputStream body = new ByteArrayOutputStream(bytes);
         for (byte[] part : parts) {
             body.writeBytes(part);
         }
         Change change =
                 new Change(
-                        like.position(), like.previous(), like.superseding(), body.toByteArray());
-        drop();
+                        current.position(), current.previous(), current.superseding(), body.toByteArray());
+        reset();
         return change;
     }
 }
--- a/src/main/java/cairnbridge/propagation/Message.java
+++ b/src/main/java/cairnbridge/propagation/Message.java
@@ -74,7 +74,7 @@
             long epoch,
             long generation,
             long sequence,
-            Position held,
+            Position receivedUpTo,
             Position missingTo,
             List<SiteProgress> sites,
             List<Rejection> rejections)
--- a/src/main/java/cairnbridge/propagation/ParentSelector.java
+++ b/src/main/java/cairnbridge/propagation/ParentSelector.java
@@ -18,26 +18,26 @@
     private List<MemberId> candidates;
     private int index;
     private long chosenAt;
-    private long heardAt;
+    private long lastHeardAt;
     private long subscribedAt;
     private long preferredAt;
     private boolean answered;
     private int parentHops = UNKNOWN_HOPS;
-    private long beatEpoch;
+    private long heartbeatEpoch;
     private long sequence = -1;
-    private long beatAt;
+    private long heartbeatAdvancedAt;
 
     ParentSelector(PropagationSettings settings, List<MemberId> candidates, long now) {
         this.settings = settings;
         this.candidates = List.copyOf(candidates);
-        beatAt = now;
+        heartbeatAdvancedAt = now;
         choose(0, now);
     }
 
     private void choose(int next, long now) {
         index = next;
         chosenAt = now;
-        heardAt = now;
+        lastHeardAt = now;
         subscribedAt = now;
         preferredAt = now;
         answered = false;
@@ -75,13 +75,13 @@
     /** A candidate has sent a message; whether it takes the place of the parent by that. */
     boolean handleHeartbeat(MemberId from, Message.Heartbeat heartbeat, long now) {
         boolean isCurrent = isCurrent(heartbeat);
-        if (isFurther(heartbeat)) {
-            beatEpoch = heartbeat.epoch();
+        if (isNewer(heartbeat)) {
+            heartbeatEpoch = heartbeat.epoch();
             sequence = heartbeat.sequence();
-            beatAt = now;
+            heartbeatAdvancedAt = now;
         }
         if (from.equals(parent())) {
-            heardAt = now;
+            lastHeardAt = now;
             answered = true;
             parentHops = heartbeat.hops();
             return false;
@@ -98,13 +98,13 @@
 
     /** Guards against going back to one that was frozen, or is cut off, and does not know it. */
     private boolean isCurrent(Message.Heartbeat heartbeat) {
-        return heartbeat.epoch() > beatEpoch
-                || (heartbeat.epoch() == beatEpoch && heartbeat.sequence() >= sequence - 1);
+        return heartbeat.epoch() > heartbeatEpoch
+                || (heartbeat.epoch() == heartbeatEpoch && heartbeat.sequence() >= sequence - 1);
     }
 
-    private boolean isFurther(Message.Heartbeat heartbeat) {
-        return heartbeat.epoch() > beatEpoch
-                || (heartbeat.epoch() == beatEpoch && heartbeat.sequence() > sequence);
+    private boolean isNewer(Message.Heartbeat heartbeat) {
+        return heartbeat.epoch() > heartbeatEpoch
+                || (heartbeat.epoch() == heartbeatEpoch && heartbeat.sequence() > sequence);
     }
 
     /** The newest heartbeat of the publisher. */
@@ -114,18 +114,18 @@
 
     /** Whether the parent has to be given up. */
     boolean isLost(long now) {
-        return now >= lostDue();
+        return now >= lossDeadline();
     }
 
-    private long lostDue() {
-        long detachedSince = Math.max(beatAt, chosenAt);
+    private long lossDeadline() {
+        long detachedSince = Math.max(heartbeatAdvancedAt, chosenAt);
         return Math.min(
-                heardAt + toleratedSilence(),
+                lastHeardAt + silenceTimeout(),
                 detachedSince + settings.heartbeat().detachedTimeout());
     }
 
     /** A candidate that has never answered is given up sooner than a parent that falls silent. */
-    private long toleratedSilence() {
+    private long silenceTimeout() {
         return answered
                 ? settings.heartbeat().parentTimeout()
                 : Math.min(
@@ -134,9 +134,9 @@
     }
 
     /** The parent does not serve this downstream; the next one is asked a little later. */
-    void rejected(long now) {
+    void handleRejection(long now) {
         answered = true;
-        heardAt =
+        lastHeardAt =
                 now
                         + settings.heartbeat().subscribeTimeout()
                         - settings.heartbeat().parentTimeout();
@@ -167,7 +167,7 @@
     }
 
     long due() {
-        long due = lostDue();
+        long due = lossDeadline();
         if (!answered) {
             due = Math.min(due, subscribedAt + settings.heartbeat().subscribeTimeout());
         }
--- a/src/main/java/cairnbridge/propagation/ProgressTable.java
+++ b/src/main/java/cairnbridge/propagation/ProgressTable.java
@@ -25,7 +25,7 @@
     /** All sites, each with as many steps as a report may have. */
     List<SiteProgress> sites() {
         List<SiteProgress> all = new ArrayList<>();
-        sites.forEach((site, steps) -> all.add(new SiteProgress(site, bounded(distinct(steps)))));
+        sites.forEach((site, steps) -> all.add(new SiteProgress(site, limitSteps(distinct(steps)))));
         return all;
     }
 
@@ -49,7 +49,7 @@
     }
 
     /** Joins the smallest step to the one below it until few are left. */
-    private static List<SiteProgress.Step> bounded(List<SiteProgress.Step> steps) {
+    private static List<SiteProgress.Step> limitSteps(List<SiteProgress.Step> steps) {
         List<SiteProgress.Step> fewer = new ArrayList<>(steps);
         while (fewer.size() > MAX_STEPS) {
             int smallest = 0;
--- a/src/main/java/cairnbridge/propagation/Publisher.java
+++ b/src/main/java/cairnbridge/propagation/Publisher.java
@@ -34,7 +34,7 @@
     private long now;
     private long heartbeat;
     private long nextHeartbeatAt;
-    private long gatherUntil;
+    private long batchUntil;
 
     /**
      * One that goes on from a log.
@@ -64,7 +64,7 @@
         clock = new ElapsedClock(time);
         downstreams = new Downstreams(settings, log, host);
         nextHeartbeatAt = now;
-        gatherUntil = now;
+        batchUntil = now;
     }
 
     /** Whether it may publish. */
@@ -91,8 +91,8 @@
      * How often somebody lacked changes that are no longer kept. Only a superseding change helps
      * them.
      */
-    public long logTooShort() {
-        return downstreams.rejectedAsTooShort();
+    public long logTooShortRejections() {
+        return downstreams.logTooShortRejections();
     }
 
     /**
@@ -114,8 +114,8 @@
         Position previous = log.last();
         Position position = new Position(epoch, previous.version() + 1);
         log.append(new Change(position, previous, superseding, body.clone()));
-        if (now >= gatherUntil) {
-            gatherUntil = now + settings.reports().batchDelay();
+        if (now >= batchUntil) {
+            batchUntil = now + settings.reports().batchDelay();
         }
         fireTimers(time);
         return position;
@@ -131,7 +131,7 @@
             downstreams.remove(from);
         }
         if (message instanceof Message.Report report && state == State.ACTIVE) {
-            if (report.held().isAfter(log.last()) && report.held().epoch() == epoch) {
+            if (report.receivedUpTo().isAfter(log.last()) && report.receivedUpTo().epoch() == epoch) {
                 state = State.BEHIND;
             } else {
                 downstreams.handleReport(from, report, heartbeat(), now);
@@ -160,12 +160,12 @@
             nextHeartbeatAt = now + settings.heartbeat().interval();
             peers.forEach(peer -> host.send(peer, new Message.KeepAlive(heartbeat())));
         }
-        downstreams.serve(heartbeat(), now >= gatherUntil, now);
+        downstreams.serve(heartbeat(), now >= batchUntil, now);
     }
 
     /** When {@link #fireTimers} is to be called next at the latest, by the caller's clock. */
     public long nextTimer() {
-        return clock.shownAt(elapsedDue());
+        return clock.clockTimeAt(elapsedDue());
     }
 
     private long elapsedDue() {
@@ -173,7 +173,7 @@
             return Long.MAX_VALUE;
         }
         long due = Math.min(nextHeartbeatAt, downstreams.due());
-        return now < gatherUntil ? Math.min(due, gatherUntil) : due;
+        return now < batchUntil ? Math.min(due, batchUntil) : due;
     }
 
     /** At whom a change is in force now, as far as is known here. */
--- a/src/main/java/cairnbridge/propagation/RelayTree.java
+++ b/src/main/java/cairnbridge/propagation/RelayTree.java
@@ -27,7 +27,7 @@
     public static final int CANDIDATES = 3;
 
     private final List<MemberId> controls;
-    private final Map<MemberId, MemberLocation> placements = new HashMap<>();
+    private final Map<MemberId, MemberLocation> locations = new HashMap<>();
     private final Map<String, List<MemberId>> regionRelays = new HashMap<>();
     private final Map<String, List<MemberId>> siteRelays = new HashMap<>();
 
@@ -42,17 +42,17 @@
         Map<String, List<MemberLocation>> regions = new TreeMap<>();
         Map<String, List<MemberLocation>> sites = new TreeMap<>();
         for (MemberLocation place : alive) {
-            placements.put(place.member(), place);
+            locations.put(place.member(), place);
             regions.computeIfAbsent(place.region(), region -> new ArrayList<>()).add(place);
             sites.computeIfAbsent(place.site(), site -> new ArrayList<>()).add(place);
         }
-        regions.forEach((region, places) -> regionRelays.put(region, ofRegion(region, places)));
-        sites.forEach((site, places) -> siteRelays.put(site, ofSite(site, places)));
+        regions.forEach((region, places) -> regionRelays.put(region, chooseRegionRelays(region, places)));
+        sites.forEach((site, places) -> siteRelays.put(site, chooseSiteRelays(site, places)));
     }
 
     /** The candidates for a member's parent, the best first. */
     public List<MemberId> parentsOf(MemberId member) {
-        MemberLocation place = placements.get(member);
+        MemberLocation place = locations.get(member);
         List<MemberId> region = regionRelays.get(place.region());
         List<MemberId> site = siteRelays.get(place.site());
         List<MemberId> parents = new ArrayList<>();
@@ -75,7 +75,7 @@
     }
 
     /** The members that may become relay of a region, the first of them first. */
-    public List<MemberId> relaysOf(String region) {
+    public List<MemberId> relaysOfRegion(String region) {
         return regionRelays.get(region);
     }
 
@@ -85,7 +85,7 @@
     }
 
     /** Of different sites where there are enough, as a site may lose its power as a whole. */
-    private static List<MemberId> ofRegion(String region, List<MemberLocation> places) {
+    private static List<MemberId> chooseRegionRelays(String region, List<MemberLocation> places) {
         List<MemberLocation> sorted =
                 places.stream()
                         .sorted(Comparator.comparing(MemberLocation::member, byWeight(region)))
@@ -106,11 +106,11 @@
     }
 
     /** Relays of the region come last, as they have enough to do. */
-    private List<MemberId> ofSite(String site, List<MemberLocation> places) {
+    private List<MemberId> chooseSiteRelays(String site, List<MemberLocation> places) {
         Comparator<MemberId> relaysLast =
                 Comparator.comparing(
                         member ->
-                                regionRelays.get(placements.get(member).region()).contains(member));
+                                regionRelays.get(locations.get(member).region()).contains(member));
         return places.stream()
                 .map(MemberLocation::member)
                 .sorted(relaysLast.thenComparing(byWeight(site)))
--- a/src/main/java/cairnbridge/propagation/Subscriber.java
+++ b/src/main/java/cairnbridge/propagation/Subscriber.java
@@ -17,7 +17,7 @@
  */
 public final class Subscriber {
     /** News is reported this often again soon, as a report may be lost. */
-    private static final int NEWS_REPETITIONS = 2;
+    private static final int CHANGE_REPORT_REPETITIONS = 2;
 
     private final MemberId id;
     private final long generation;
@@ -34,11 +34,11 @@
     private long now;
     private long epoch;
     private int hops;
-    private Position held;
+    private Position receivedUpTo;
     private Position inForce;
-    private long gatherUntil;
+    private long batchUntil;
     private long reportAt;
-    private int repetitions;
+    private int remainingRepetitions;
     private long reportNumber;
 
     /**
@@ -65,7 +65,7 @@
         this.host = host;
         clock = new ElapsedClock(time);
         inForce = latest.map(Change::position).orElse(Position.NONE);
-        held = inForce;
+        receivedUpTo = inForce;
         epoch = inForce.epoch();
         log = RetainedLog.startingWith(settings, latest);
         downstreams = new Downstreams(settings, log, host);
@@ -73,7 +73,7 @@
         reorder = new ReorderBuffer(settings.flow().windowBytes());
         parentSelector = new ParentSelector(settings, candidates, now);
         reportAt = now;
-        gatherUntil = now;
+        batchUntil = now;
     }
 
     /** The newest change in force here. */
@@ -82,8 +82,8 @@
     }
 
     /** All up to here has been received. */
-    public Position held() {
-        return held;
+    public Position receivedUpTo() {
+        return receivedUpTo;
     }
 
     /** The highest epoch it knows of. */
@@ -136,11 +136,11 @@
             handleReport(from, report);
         } else if (message instanceof Message.Leave) {
             if (downstreams.remove(from)) {
-                reportSoon(settings.reports().delay());
+                scheduleReport(settings.reports().delay());
             }
         } else if (message instanceof Message.SubscriptionRejected) {
             if (!parentSelector.isEmpty() && from.equals(parentSelector.parent())) {
-                parentSelector.rejected(now);
+                parentSelector.handleRejection(now);
             }
         } else if (message instanceof Message.KeepAlive beat) {
             handleParentMessage(from, beat.heartbeat(), List.of());
@@ -159,7 +159,7 @@
             epoch = report.epoch();
         }
         if (downstreams.handleReport(from, report, heartbeat(), now)) {
-            reportSoon(settings.reports().delay());
+            scheduleReport(settings.reports().delay());
         }
     }
 
@@ -185,35 +185,35 @@
     }
 
     private void handleFragment(Fragment fragment) {
-        if (!fragment.position().isAfter(held)) {
+        if (!fragment.position().isAfter(receivedUpTo)) {
             // The parent repeats itself: it has not heard that this was received.
-            reportSoon(settings.reports().delay());
+            scheduleReport(settings.reports().delay());
         } else if (fragment.position().epoch() > epoch) {
             return;
-        } else if (fragment.follows(held)) {
-            assembler.add(fragment).ifPresent(this::receiveWithThoseAfter);
+        } else if (fragment.follows(receivedUpTo)) {
+            assembler.add(fragment).ifPresent(this::receiveWithBuffered);
         } else if (fragment.count() == 1) {
             reorder.add(fragment.toChange());
-            reportSoon(0);
+            scheduleReport(0);
         }
     }
 
-    private void receiveWithThoseAfter(Change change) {
+    private void receiveWithBuffered(Change change) {
         Optional<Change> next = Optional.of(change);
         while (next.isPresent()) {
             receive(next.get());
-            next = reorder.takeNext(held);
+            next = reorder.takeNext(receivedUpTo);
         }
     }
 
     private void receive(Change change) {
-        held = change.position();
-        assembler.forget(held);
+        receivedUpTo = change.position();
+        assembler.discardUpTo(receivedUpTo);
         log.append(change);
-        if (now >= gatherUntil) {
-            gatherUntil = now + settings.reports().batchDelay();
+        if (now >= batchUntil) {
+            batchUntil = now + settings.reports().batchDelay();
         }
-        reportSoon(settings.reports().batchDelay());
+        scheduleReport(settings.reports().batchDelay());
         Optional<String> reason = host.apply(change);
         if (change.superseding()) {
             rejected.clear();
@@ -232,8 +232,8 @@
         rejected.put(rejection.position(), rejection);
     }
 
-    private void reportSoon(long delay) {
-        repetitions = NEWS_REPETITIONS;
+    private void scheduleReport(long delay) {
+        remainingRepetitions = CHANGE_REPORT_REPETITIONS;
         reportAt = Math.min(reportAt, now + delay);
     }
 
@@ -241,9 +241,9 @@
     public void fireTimers(long time) {
         advance(time);
         if (downstreams.dropSilent(now)) {
-            reportSoon(settings.reports().delay());
+            scheduleReport(settings.reports().delay());
         }
-        downstreams.serve(heartbeat(), now >= gatherUntil, now);
+        downstreams.serve(heartbeat(), now >= batchUntil, now);
         if (parentSelector.isEmpty()) {
             return;
         }
@@ -251,7 +251,7 @@
             switchParent();
         }
         if (now >= reportAt || parentSelector.isSubscriptionDue(now)) {
-            reportAt = now + untilNextReport();
+            reportAt = now + nextReportDelay();
             sendReports(parentSelector.parent());
         }
         if (parentSelector.isPreferredDue(now)) {
@@ -261,24 +261,24 @@
 
     /** When {@link #fireTimers} is to be called next at the latest, by the caller's clock. */
     public long nextTimer() {
-        return clock.shownAt(elapsedDue());
+        return clock.clockTimeAt(elapsedDue());
     }
 
     private long elapsedDue() {
         long due = downstreams.due();
-        if (now < gatherUntil) {
-            due = Math.min(due, gatherUntil);
+        if (now < batchUntil) {
+            due = Math.min(due, batchUntil);
         }
         return parentSelector.isEmpty()
                 ? due
                 : Math.min(due, Math.min(reportAt, parentSelector.due()));
     }
 
-    private long untilNextReport() {
-        if (repetitions == 0) {
+    private long nextReportDelay() {
+        if (remainingRepetitions == 0) {
             return settings.reports().interval();
         }
-        repetitions--;
+        remainingRepetitions--;
         return Math.max(settings.heartbeat().subscribeTimeout(), settings.reports().delay());
     }
 
@@ -312,7 +312,7 @@
                             epoch,
                             generation,
                             reportNumber,
-                            held,
+                            receivedUpTo,
                             reorder.missingTo(),
                             part.sites(),
                             part.rejections()));
--- a/src/main/java/cairnbridge/propagation/simulated/FleetLayout.java
+++ b/src/main/java/cairnbridge/propagation/simulated/FleetLayout.java
@@ -14,8 +14,8 @@
     /** The share of sites and regions that 1,800 members at 140 sites in 11 regions have. */
     private static final double MEMBERS_PER_SITE = 1_800 / 140.0;
 
-    private static final int MOST_REGIONS = 11;
-    private static final int CONTROLS = 7;
+    private static final int MAX_REGIONS = 11;
+    private static final int DEFAULT_CONTROLS = 7;
 
     /** Checks the counts. */
     public FleetLayout {
@@ -33,7 +33,7 @@
      */
     public static FleetLayout of(int members) {
         int sites = Math.max(1, (int) Math.round(members / MEMBERS_PER_SITE));
-        return new FleetLayout(members, sites, Math.min(MOST_REGIONS, sites), CONTROLS);
+        return new FleetLayout(members, sites, Math.min(MAX_REGIONS, sites), DEFAULT_CONTROLS);
     }
 
     List<MemberLocation> locations() {
--- a/src/main/java/cairnbridge/propagation/simulated/PropagationNet.java
+++ b/src/main/java/cairnbridge/propagation/simulated/PropagationNet.java
@@ -27,7 +27,7 @@
     /** One second of simulated time. */
     public static final long SECOND = Ticks.SECOND;
 
-    /** How closely {@link #untilInForce} measures. */
+    /** How closely {@link #advanceUntilInForce} measures. */
     private static final long MEASURING_STEP = 10 * Ticks.MILLISECOND;
 
     final PropagationSettings settings;
@@ -177,8 +177,8 @@
     }
 
     /** Moves a node's clock. */
-    public void setClock(SimulatedNode node, long by) {
-        node.moveClock(by);
+    public void shiftClock(SimulatedNode node, long by) {
+        node.shiftClock(by);
     }
 
     /** Lets simulated time pass. */
@@ -202,7 +202,7 @@
     }
 
     /** Lets time pass until all running members have a change in force; the time taken, or -1. */
-    public long untilInForce(Position position, long limit) {
+    public long advanceUntilInForce(Position position, long limit) {
         long start = events.now();
         while (!membersWithout(position).isEmpty()) {
             if (events.now() - start >= limit) {
--- a/src/main/java/cairnbridge/propagation/simulated/PropagationObserver.java
+++ b/src/main/java/cairnbridge/propagation/simulated/PropagationObserver.java
@@ -5,8 +5,8 @@
 /** Follows what happens in a simulated net. */
 public interface PropagationObserver {
     /** A member has put a change in force. */
-    void applied(SimulatedNode member, Position before, Position after);
+    void onApplied(SimulatedNode member, Position before, Position after);
 
     /** A publisher has handled a report. */
-    void reported(SimulatedNode publisher);
+    void onReported(SimulatedNode publisher);
 }
--- a/src/main/java/cairnbridge/propagation/simulated/PropagationRuns.java
+++ b/src/main/java/cairnbridge/propagation/simulated/PropagationRuns.java
@@ -14,9 +14,9 @@
 public final class PropagationRuns implements PropagationObserver {
     private static final long SECOND = PropagationNet.SECOND;
     private static final long SETTLE = 10 * SECOND;
-    private static final long KILL_AFTER = 50 * Ticks.MILLISECOND;
-    private static final long RESTART_AFTER = 15 * SECOND;
-    private static final long LAST_WAIT = 30 * SECOND;
+    private static final long KILL_DELAY = 50 * Ticks.MILLISECOND;
+    private static final long RESTART_DELAY = 15 * SECOND;
+    private static final long FINAL_WAIT = 30 * SECOND;
 
     /**
      * What is to be measured.
@@ -45,13 +45,13 @@
         static Spans of(List<Long> spans, int expected) {
             List<Long> sorted = spans.stream().sorted().toList();
             return new Spans(
-                    part(sorted, 0.5),
-                    part(sorted, 0.99),
-                    part(sorted, 1),
+                    percentile(sorted, 0.5),
+                    percentile(sorted, 0.99),
+                    percentile(sorted, 1),
                     expected - spans.size());
         }
 
-        private static double part(List<Long> sorted, double part) {
+        private static double percentile(List<Long> sorted, double part) {
             if (sorted.isEmpty()) {
                 return Double.NaN;
             }
@@ -84,17 +84,17 @@
             int mostChildren,
             int violations) {}
 
-    private record Open(Position position, long publishedAt) {}
+    private record PendingChange(Position position, long publishedAt) {}
 
-    private record Counted(long sent, long received, long messages) {}
+    private record TrafficCounters(long sent, long received, long messages) {}
 
     private final Plan plan;
     private final PropagationNet net;
     private final SimulatedNode source;
-    private final Deque<Open> notInForce = new ArrayDeque<>();
-    private final Deque<Open> notKnown = new ArrayDeque<>();
-    private final List<Long> inForceAfter = new ArrayList<>();
-    private final List<Long> knownAfter = new ArrayList<>();
+    private final Deque<PendingChange> awaitingInForce = new ArrayDeque<>();
+    private final Deque<PendingChange> awaitingConfirmation = new ArrayDeque<>();
+    private final List<Long> inForceDelays = new ArrayList<>();
+    private final List<Long> confirmationDelays = new ArrayList<>();
     private int applied;
 
     private PropagationRuns(Plan plan) {
@@ -114,31 +114,31 @@
         net.advance(SETTLE);
         net.loss = plan.loss;
         net.advance(SETTLE);
-        List<Counted> before = count(net.members());
+        List<TrafficCounters> before = readCounters(net.members());
         net.advance(SETTLE);
         Traffic quiet = traffic(net.members(), before, SETTLE);
-        before = count(net.members());
-        List<Counted> controlsBefore = count(net.controls());
+        before = readCounters(net.members());
+        List<TrafficCounters> controlsBefore = readCounters(net.controls());
         long from = net.now();
         for (int i = 0; i < plan.changes; i++) {
             publish();
             if (plan.killRelay) {
                 int number = i;
-                net.schedule(KILL_AFTER, () -> killRelay(number));
+                net.schedule(KILL_DELAY, () -> killRelay(number));
             }
             net.advance(plan.every);
         }
         long span = net.now() - from;
         Traffic members = traffic(net.members(), before, span);
         Traffic controls = traffic(net.controls(), controlsBefore, span);
-        net.advance(LAST_WAIT);
+        net.advance(FINAL_WAIT);
         int children =
                 net.runningMembers().stream().mapToInt(SimulatedNode::downstreams).max().orElse(0);
         int controlChildren =
                 net.controls().stream().mapToInt(SimulatedNode::downstreams).max().orElse(0);
         return new Result(
-                Spans.of(inForceAfter, plan.changes),
-                Spans.of(knownAfter, plan.changes),
+                Spans.of(inForceDelays, plan.changes),
+                Spans.of(confirmationDelays, plan.changes),
                 quiet,
                 members,
                 controls,
@@ -148,9 +148,9 @@
 
     private void publish() {
         Position position = net.publish(source, new byte[plan.bodyBytes], plan.superseding);
-        Open open = new Open(position, net.now());
-        notInForce.add(open);
-        notKnown.add(open);
+        PendingChange open = new PendingChange(position, net.now());
+        awaitingInForce.add(open);
+        awaitingConfirmation.add(open);
         applied = 0;
     }
 
@@ -167,7 +167,7 @@
                         .orElseThrow();
         net.crash(victim);
         checkInForce();
-        net.schedule(RESTART_AFTER, () -> net.start(victim));
+        net.schedule(RESTART_DELAY, () -> net.start(victim));
     }
 
     private static boolean isAt(SimulatedNode node, String place) {
@@ -176,24 +176,24 @@
     }
 
     @Override
-    public void applied(SimulatedNode node, Position before, Position after) {
+    public void onApplied(SimulatedNode node, Position before, Position after) {
         applied++;
         // Looking at all members is dear, and in vain until most have applied something.
-        if (plan.killRelay || applied >= plan.layout.members() || notInForce.size() > 1) {
+        if (plan.killRelay || applied >= plan.layout.members() || awaitingInForce.size() > 1) {
             checkInForceOf(node);
         }
     }
 
     private void checkInForceOf(SimulatedNode node) {
-        Open oldest = notInForce.peek();
+        PendingChange oldest = awaitingInForce.peek();
         if (oldest != null && !oldest.position.isAfter(node.inForce())) {
             checkInForce();
         }
     }
 
     private void checkInForce() {
-        while (!notInForce.isEmpty() && isInForce(notInForce.peek().position)) {
-            inForceAfter.add(net.now() - notInForce.poll().publishedAt);
+        while (!awaitingInForce.isEmpty() && isInForce(awaitingInForce.peek().position)) {
+            inForceDelays.add(net.now() - awaitingInForce.poll().publishedAt);
         }
     }
 
@@ -207,9 +207,9 @@
     }
 
     @Override
-    public void reported(SimulatedNode node) {
-        while (!notKnown.isEmpty() && isKnown(notKnown.peek().position)) {
-            knownAfter.add(net.now() - notKnown.poll().publishedAt);
+    public void onReported(SimulatedNode node) {
+        while (!awaitingConfirmation.isEmpty() && isKnown(awaitingConfirmation.peek().position)) {
+            confirmationDelays.add(net.now() - awaitingConfirmation.poll().publishedAt);
         }
     }
 
@@ -222,43 +222,43 @@
         return source.publisher().coverage(position).inForce() >= living;
     }
 
-    private static List<Counted> count(List<SimulatedNode> nodes) {
+    private static List<TrafficCounters> readCounters(List<SimulatedNode> nodes) {
         return nodes.stream()
                 .map(
                         node ->
-                                new Counted(
+                                new TrafficCounters(
                                         node.bytesSent(),
                                         node.bytesReceived(),
                                         node.messagesSent()))
                 .toList();
     }
 
-    private static Traffic traffic(List<SimulatedNode> nodes, List<Counted> before, long span) {
-        List<Counted> spent = new ArrayList<>();
-        List<Counted> after = count(nodes);
+    private static Traffic traffic(List<SimulatedNode> nodes, List<TrafficCounters> before, long span) {
+        List<TrafficCounters> spent = new ArrayList<>();
+        List<TrafficCounters> after = readCounters(nodes);
         for (int i = 0; i < nodes.size(); i++) {
-            Counted now = after.get(i);
-            Counted then = before.get(i);
+            TrafficCounters now = after.get(i);
+            TrafficCounters then = before.get(i);
             spent.add(
-                    new Counted(
+                    new TrafficCounters(
                             now.sent - then.sent,
                             now.received - then.received,
                             now.messages - then.messages));
         }
         double seconds = span / (double) SECOND;
         return new Traffic(
-                mean(spent, Counted::sent) / seconds,
-                most(spent, Counted::sent) / seconds,
-                mean(spent, Counted::received) / seconds,
-                most(spent, Counted::received) / seconds,
-                mean(spent, Counted::messages) / seconds);
+                mean(spent, TrafficCounters::sent) / seconds,
+                max(spent, TrafficCounters::sent) / seconds,
+                mean(spent, TrafficCounters::received) / seconds,
+                max(spent, TrafficCounters::received) / seconds,
+                mean(spent, TrafficCounters::messages) / seconds);
     }
 
-    private static double mean(List<Counted> counted, ToLongFunction<Counted> of) {
+    private static double mean(List<TrafficCounters> counted, ToLongFunction<TrafficCounters> of) {
         return counted.stream().mapToLong(of).average().orElse(0);
     }
 
-    private static double most(List<Counted> counted, ToLongFunction<Counted> of) {
+    private static double max(List<TrafficCounters> counted, ToLongFunction<TrafficCounters> of) {
         return counted.stream().mapToLong(of).max().orElse(0);
     }
 }
--- a/src/main/java/cairnbridge/propagation/simulated/SimulatedNode.java
+++ b/src/main/java/cairnbridge/propagation/simulated/SimulatedNode.java
@@ -181,7 +181,7 @@
     }
 
     /** Moves its clock. */
-    void moveClock(long by) {
+    void shiftClock(long by) {
         clockOffset += by;
     }
 
@@ -218,7 +218,7 @@
         if (publisher != null) {
             publisher.handle(from, message, clock());
             if (message instanceof Message.Report && net.observer != null) {
-                net.observer.reported(this);
+                net.observer.onReported(this);
             }
         } else {
             subscriber.handle(from, message, clock());
@@ -265,7 +265,7 @@
         }
         latest = Optional.of(change);
         if (isMember() && net.observer != null) {
-            net.observer.applied(this, before, change.position());
+            net.observer.onApplied(this, before, change.position());
         }
         return reason;
     }
@@ -307,11 +307,11 @@
         if (at < timerAt) {
             timerAt = at;
             long startedAs = generation;
-            net.events.schedule(at - net.events.now(), () -> timerDue(startedAs, at));
+            net.events.schedule(at - net.events.now(), () -> handleTimer(startedAs, at));
         }
     }
 
-    private void timerDue(long startedAs, long at) {
+    private void handleTimer(long startedAs, long at) {
         if (!running || startedAs != generation || at != timerAt) {
             return;
         }
--- a/src/test/java/cairnbridge/propagation/PropagationPartsTest.java
+++ b/src/test/java/cairnbridge/propagation/PropagationPartsTest.java
@@ -252,7 +252,7 @@
         assertEquals(10, time.advance(1_010));
         assertEquals(10, time.advance(500));
         assertEquals(15, time.advance(505));
-        assertEquals(510, time.shownAt(20));
+        assertEquals(510, time.clockTimeAt(20));
     }
 
     /** Guards against 1.5 s of silence spent on each candidate that is down. */
--- a/src/test/java/cairnbridge/propagation/PropagationTest.java
+++ b/src/test/java/cairnbridge/propagation/PropagationTest.java
@@ -61,7 +61,7 @@
     }
 
     private void assertInForceWithin(long span, Position position) {
-        assertTrue(net.untilInForce(position, span) >= 0, () -> "lacking: " + lacking(position));
+        assertTrue(net.advanceUntilInForce(position, span) >= 0, () -> "lacking: " + lacking(position));
     }
 
     private List<MemberId> lacking(Position position) {
@@ -82,7 +82,7 @@
     }
 
     private SimulatedNode regionRelay(String region) {
-        return net.node(net.tree().relaysOf(region).get(0));
+        return net.node(net.tree().relaysOfRegion(region).get(0));
     }
 
     private SimulatedNode siteRelay(String site) {
@@ -135,14 +135,14 @@
         net.observer =
                 new PropagationObserver() {
                     @Override
-                    public void applied(SimulatedNode node, Position before, Position after) {
+                    public void onApplied(SimulatedNode node, Position before, Position after) {
                         if (after.version() != before.version() + 1) {
                             gaps.add(node.id + " went from " + before + " to " + after);
                         }
                     }
 
                     @Override
-                    public void reported(SimulatedNode node) {}
+                    public void onReported(SimulatedNode node) {}
                 };
         return gaps;
     }
@@ -313,12 +313,12 @@
         net.observer =
                 new PropagationObserver() {
                     @Override
-                    public void applied(SimulatedNode node, Position before, Position after) {
+                    public void onApplied(SimulatedNode node, Position before, Position after) {
                         applied[0]++;
                     }
 
                     @Override
-                    public void reported(SimulatedNode node) {}
+                    public void onReported(SimulatedNode node) {}
                 };
         return applied;
     }
@@ -334,7 +334,7 @@
         }
         ofRegion("r2").forEach(node -> net.setPartition(node, 0));
         net.advance(30 * SECOND);
-        assertTrue(source().publisher().logTooShort() > 0);
+        assertTrue(source().publisher().logTooShortRejections() > 0);
         assertEquals(ofRegion("r2").size(), net.membersWithout(last).size());
         Position whole = net.publish(source(), new byte[100], true);
         assertInForceWithin(60 * SECOND, whole);
@@ -485,12 +485,12 @@
     void clocksThatAreSetDoNotMatter() {
         begin(SMALL, PropagationSettings.CONFIGURATIONS, 20);
         long hour = 3_600 * SECOND;
-        net.setClock(regionRelay("r0"), hour);
-        net.setClock(regionRelay("r1"), -hour);
-        net.setClock(siteRelay("s4"), -hour);
-        net.setClock(net.members().get(77), hour);
-        net.setClock(source(), -hour);
-        net.setClock(net.controls().get(1), hour);
+        net.shiftClock(regionRelay("r0"), hour);
+        net.shiftClock(regionRelay("r1"), -hour);
+        net.shiftClock(siteRelay("s4"), -hour);
+        net.shiftClock(net.members().get(77), hour);
+        net.shiftClock(source(), -hour);
+        net.shiftClock(net.controls().get(1), hour);
         Position position = publish("with wrong clocks");
         assertInForceWithin(IN_TIME, position);
         net.advance(20 * SECOND);
--- a/src/test/java/cairnbridge/propagation/RelayTreeTest.java
+++ b/src/test/java/cairnbridge/propagation/RelayTreeTest.java
@@ -57,7 +57,7 @@
     void relaysOfARegionStandAtDifferentSites() {
         RelayTree tree = new RelayTree(CONTROLS, fleet());
         for (int i = 0; i < REGIONS; i++) {
-            List<MemberId> relays = tree.relaysOf("r" + i);
+            List<MemberId> relays = tree.relaysOfRegion("r" + i);
             long sites =
                     fleet().stream()
                             .filter(place -> relays.contains(place.member()))
