--- a/src/main/java/cairnbridge/propagation/Change.java
+++ b/src/main/java/cairnbridge/propagation/Change.java
@@ -1,24 +1,26 @@
 package cairnbridge.propagation;
 
 /**
- * One change of a topic.
+ * A versioned change of one topic.
  *
- * @param position its place in the order
- * @param previous the place of the change before it; a receiver that is not as far has a gap
- * @param superseding whether it replaces all before it, as a whole configuration does; a receiver
- *     may then skip the others
- * @param body what changes; must not be modified
+ * @param position its position in the topic's order
+ * @param previous the position of the preceding change; a receiver that has not reached it has a
+ *     gap
+ * @param superseding whether it replaces all earlier changes, as a complete configuration does; a
+ *     receiver may then skip them
+ * @param body the payload, opaque to this package; must not be modified
  */
 public record Change(Position position, Position previous, boolean superseding, byte[] body) {
-    /** Checks the order of the positions. */
+    /** Requires the position to be after that of the preceding change. */
     public Change {
         if (!position.isAfter(previous)) {
-            throw new IllegalArgumentException("a change comes after the one before it");
+            throw new IllegalArgumentException(
+                    "the position of a change must be after that of the preceding change");
         }
     }
 
-    /** Whether a receiver that holds all up to a position can take this one next. */
-    public boolean follows(Position held) {
-        return position.isAfter(held) && (superseding || !previous.isAfter(held));
+    /** Whether a receiver with all changes up to a position can apply this change next. */
+    public boolean follows(Position receivedUpTo) {
+        return position.isAfter(receivedUpTo) && (superseding || !previous.isAfter(receivedUpTo));
     }
 }
--- a/src/main/java/cairnbridge/propagation/Coverage.java
+++ b/src/main/java/cairnbridge/propagation/Coverage.java
@@ -4,13 +4,14 @@
 import java.util.List;
 
 /**
- * At whom a change is in force, as far as the publisher knows.
+ * The members that have a change in force, according to the reports that reached the publisher.
  *
- * @param position which change
- * @param inForce members that have it, or a later one, in force
- * @param expected members there are
- * @param missing the others; at most {@link #MAX_NAMES} of them
- * @param rejections who rejected it and why; as many as were reported
+ * @param position the position of the change
+ * @param inForce the number of members that have this change or a later one in force
+ * @param expected the number of members in the fleet
+ * @param missing members not reported to have it in force, at most {@link #MAX_NAMES}
+ * @param rejections rejections of the change that were reported; reports are truncated, so some may
+ *     be absent
  */
 public record Coverage(
         Position position,
@@ -18,16 +19,16 @@
         int expected,
         List<MemberId> missing,
         List<Rejection> rejections) {
-    /** The most names in {@link #missing}. */
+    /** The maximum size of {@link #missing}. */
     public static final int MAX_NAMES = 32;
 
-    /** Copies the lists. */
+    /** Makes immutable copies of the lists. */
     public Coverage {
         missing = List.copyOf(missing);
         rejections = List.copyOf(rejections);
     }
 
-    /** Whether it is in force at all of them. */
+    /** Whether every member has the change in force. */
     public boolean isComplete() {
         return inForce == expected;
     }
--- a/src/main/java/cairnbridge/propagation/Downstream.java
+++ b/src/main/java/cairnbridge/propagation/Downstream.java
@@ -8,10 +8,11 @@
 import java.util.Map;
 
 /**
- * What a parent keeps of one downstream: how far it is, what is on its way to it, what it reported.
+ * A parent's state for one downstream: its acknowledged position, the fragments in flight to it,
+ * and its latest reports.
  */
 final class Downstream {
-    /** Beyond these a downstream's reports on further sites or rejections are not kept. */
+    /** The maximum number of sites kept per downstream; reports on further sites are ignored. */
     static final int MAX_SITES = 256;
 
     private record InFlight(Position position, int bytes) {}
@@ -51,48 +52,54 @@
         lastSentAt = now - settings.heartbeat().interval();
     }
 
-    /** Handles a report; whether anything in it is new. One that was overtaken changes nothing. */
+    /**
+     * Handles a report; returns whether it changes the reported progress or rejections. A report
+     * that arrives after a newer one of the same generation is ignored.
+     */
     boolean handleReport(Message.Report report, long now) {
         lastReportAt = now;
-        boolean isOvertaken = report.generation() == generation && report.sequence() < reportNumber;
-        if (isOvertaken) {
+        boolean isOutdated = report.generation() == generation && report.sequence() < reportNumber;
+        if (isOutdated) {
             return false;
         }
         generation = report.generation();
         reportNumber = report.sequence();
-        boolean news = !report.rejections().equals(rejections);
+        boolean changed = !report.rejections().equals(rejections);
         rejections = report.rejections();
         for (SiteProgress site : report.sites()) {
             if (sites.size() < MAX_SITES || sites.containsKey(site.site())) {
-                ReportedSite before = sites.put(site.site(), new ReportedSite(site, now));
-                news |= before == null || !before.progress.equals(site);
+                ReportedSite previous = sites.put(site.site(), new ReportedSite(site, now));
+                changed |= previous == null || !previous.progress.equals(site);
             }
         }
         acknowledge(report.receivedUpTo(), now);
         scheduleRepair(report.missingTo(), now);
-        return news;
+        return changed;
     }
 
     private void acknowledge(Position position, long now) {
-        boolean isBehind = acknowledged.isAfter(position);
-        boolean isFurther = position.isAfter(acknowledged);
+        boolean hasRegressed = acknowledged.isAfter(position);
+        boolean hasAdvanced = position.isAfter(acknowledged);
         acknowledged = position;
-        if (isBehind || position.isAfter(sentUpTo)) {
+        if (hasRegressed || position.isAfter(sentUpTo)) {
             rewindTo(position);
         }
         while (!inFlight.isEmpty() && !inFlight.peek().position.isAfter(position)) {
             inFlightBytes -= inFlight.poll().bytes;
         }
-        if (isFurther) {
+        if (hasAdvanced) {
             retransmitTimeout = settings.flow().retransmitTimeout();
             retransmitAt = inFlight.isEmpty() ? Long.MAX_VALUE : now + retransmitTimeout;
         }
     }
 
-    /** What was lost is sent once more, and again only when it has had time to be received. */
+    /**
+     * Schedules one retransmission of the changes reported lost. The same gap is repaired again
+     * only after half a retransmission timeout, so that the repair has time to arrive.
+     */
     private void scheduleRepair(Position missingTo, long now) {
-        boolean isSame = acknowledged.equals(repairStart) && now < nextRepairAt;
-        if (!missingTo.isAfter(acknowledged) || isSame) {
+        boolean isAlreadyRepaired = acknowledged.equals(repairStart) && now < nextRepairAt;
+        if (!missingTo.isAfter(acknowledged) || isAlreadyRepaired) {
             return;
         }
         repairStart = acknowledged;
@@ -102,17 +109,17 @@
         retransmitAt = Math.max(retransmitAt, now + retransmitTimeout);
     }
 
-    /** All up to here has been repaired. */
+    /** The position up to which lost changes have been retransmitted. */
     Position repairedUpTo() {
         return repairedUpTo;
     }
 
-    /** Whether a change is one of those that are to be sent once more. */
+    /** Whether a change lies in the range to be retransmitted. */
     boolean needsRepair(Change change) {
         return !change.position().isAfter(repairEnd);
     }
 
-    /** A change was sent once more. */
+    /** Records that a lost change was retransmitted. */
     void fragmentRepaired(Fragment fragment) {
         credit -= fragment.size();
         repairedUpTo = fragment.position();
@@ -126,28 +133,33 @@
         retransmitAt = Long.MAX_VALUE;
     }
 
-    /** Begins again after the last change acknowledged, where none was for too long. */
+    /**
+     * Restarts sending after the last acknowledged change if the retransmission timeout has
+     * expired, and doubles the timeout up to its maximum.
+     */
     void rewindOnTimeout(long now) {
         if (now >= retransmitAt) {
             rewindTo(acknowledged);
-            retransmitTimeout = Math.min(2 * retransmitTimeout, settings.flow().maxRetransmitTimeout());
+            retransmitTimeout =
+                    Math.min(2 * retransmitTimeout, settings.flow().maxRetransmitTimeout());
         }
     }
 
-    /** Whether a fragment of this many bytes may be sent now for the first time. */
+    /** Whether both the byte budget and the send window allow a fragment of this size now. */
     boolean canSend(int bytes, long now) {
         return hasCredit(bytes, now) && !isWindowFull(bytes);
     }
 
-    /** Whether the budget allows for this many bytes now. */
+    /** Accrues credit since the last call; returns whether it covers this many bytes. */
     boolean hasCredit(int bytes, long now) {
-        double earned = (double) (now - creditUpdatedAt) * settings.flow().bytesPerSecond() / Ticks.SECOND;
-        credit = Math.min(settings.flow().burstBytes(), credit + earned);
+        double accrued =
+                (double) (now - creditUpdatedAt) * settings.flow().bytesPerSecond() / Ticks.SECOND;
+        credit = Math.min(settings.flow().burstBytes(), credit + accrued);
         creditUpdatedAt = now;
         return credit >= bytes;
     }
 
-    /** When there will be credit again for this many bytes. */
+    /** The time at which credit will cover this many bytes. */
     long creditAvailableAt(int bytes) {
         double missing = bytes - credit;
         return creditUpdatedAt
@@ -172,7 +184,7 @@
         }
     }
 
-    /** A frame costs credit as well, which may become negative by one. */
+    /** Charges the bytes of a message frame, which may make the credit negative. */
     void frameSent(int bytes, long now) {
         credit -= bytes;
         lastSentAt = now;
@@ -186,7 +198,7 @@
         return acknowledged;
     }
 
-    /** Which fragment of a change is to be sent next. */
+    /** The index of the next fragment of a change to send. */
     int nextFragment(Position change) {
         return change.equals(fragmentedChange) ? nextFragment : 0;
     }
@@ -211,10 +223,11 @@
         return rejections;
     }
 
-    /** What it reported lately. */
+    /** The site progress reported within the downstream timeout; older reports are removed. */
     List<SiteProgress> sites(long now) {
         sites.values()
-                .removeIf(each -> now - each.reportedAt >= settings.heartbeat().downstreamTimeout());
+                .removeIf(
+                        each -> now - each.reportedAt >= settings.heartbeat().downstreamTimeout());
         return sites.values().stream().map(ReportedSite::progress).toList();
     }
 }
--- a/src/main/java/cairnbridge/propagation/Downstreams.java
+++ b/src/main/java/cairnbridge/propagation/Downstreams.java
@@ -10,8 +10,9 @@
 import java.util.Set;
 
 /**
- * Passes a log on to those who subscribed. For each downstream there is a cursor into the log
- * rather than a queue, so that one that is slow or stopped delays no other and costs no memory.
+ * Forwards a log to the subscribed downstreams. Each downstream has a cursor into the log rather
+ * than a queue, so that a slow or stopped downstream neither delays the others nor uses extra
+ * memory.
  */
 final class Downstreams {
     private final PropagationSettings settings;
@@ -20,10 +21,10 @@
     private final Map<MemberId, Downstream> downstreams = new LinkedHashMap<>();
     private long logTooShortRejections;
 
-    /** Downstreams to be served at once, besides those whose timer is due. */
+    /** Downstreams to serve in the next call of {@link #serve}, whether or not a timer is due. */
     private final Set<Downstream> ready = new LinkedHashSet<>();
 
-    /** No downstream has to be served before, unless something new is to be passed on. */
+    /** The earliest timer of all downstreams; a new change in the log is served earlier. */
     private long due = Long.MAX_VALUE;
 
     private Position servedPosition = Position.NONE;
@@ -39,17 +40,20 @@
         return downstreams.size();
     }
 
-    /** How often a downstream lacked changes that the log no longer has. */
+    /** How many subscriptions were rejected because the log no longer has the changes needed. */
     long logTooShortRejections() {
         return logTooShortRejections;
     }
 
-    /** The most that is on its way to any downstream. */
+    /** The maximum number of bytes in flight to a single downstream. */
     int maxInFlightBytes() {
         return downstreams.values().stream().mapToInt(Downstream::inFlightBytes).max().orElse(0);
     }
 
-    /** Handles a report, which subscribes its sender; whether anything in it is new. */
+    /**
+     * Handles a report, which also subscribes its sender; returns whether it changes the progress
+     * or rejections to report upwards.
+     */
     boolean handleReport(
             MemberId from, Message.Report report, Message.Heartbeat heartbeat, long now) {
         Downstream downstream = downstreams.get(from);
@@ -61,7 +65,7 @@
             downstream = new Downstream(from, settings, now);
             downstreams.put(from, downstream);
         }
-        boolean news = downstream.handleReport(report, now);
+        boolean changed = downstream.handleReport(report, now);
         ready.add(downstream);
         if (log.isTooShortFor(downstream.acknowledged())) {
             logTooShortRejections++;
@@ -69,7 +73,7 @@
             reject(from, Message.SubscriptionRejected.Reason.LOG_TOO_SHORT, heartbeat);
             return true;
         }
-        return news;
+        return changed;
     }
 
     private void reject(
@@ -77,14 +81,14 @@
         host.send(to, new Message.SubscriptionRejected(heartbeat.epoch(), reason));
     }
 
-    /** Whether it was one. */
+    /** Removes a downstream; returns whether it was subscribed. */
     boolean remove(MemberId id) {
         Downstream removed = downstreams.remove(id);
         ready.remove(removed);
         return removed != null;
     }
 
-    /** Drops those silent for too long; whether there were any. */
+    /** Removes downstreams that exceeded the downstream timeout; returns whether there were any. */
     boolean dropSilent(long now) {
         if (now < due) {
             return false;
@@ -93,24 +97,27 @@
         return downstreams.values().removeIf(downstream -> now >= downstream.dropDue());
     }
 
-    /** Sends those downstreams whose time has come what they may get now, or a heartbeat. */
-    void serve(Message.Heartbeat heartbeat, boolean passOn, long now) {
-        boolean isAllServed = passOn == servedForwarding && servedPosition.equals(log.last());
-        if (now >= due || !isAllServed) {
+    /**
+     * Sends changes and heartbeats to the downstreams that are ready or have a timer due.
+     * Retransmissions are sent in either case.
+     */
+    void serve(Message.Heartbeat heartbeat, boolean canForward, long now) {
+        boolean isUpToDate = canForward == servedForwarding && servedPosition.equals(log.last());
+        if (now >= due || !isUpToDate) {
             ready.addAll(downstreams.values());
             due = Long.MAX_VALUE;
             servedPosition = log.last();
-            servedForwarding = passOn;
+            servedForwarding = canForward;
         }
         for (Downstream downstream : ready) {
-            serve(downstream, heartbeat, passOn, now);
-            due = Math.min(due, dueOf(downstream, passOn));
+            serve(downstream, heartbeat, canForward, now);
+            due = Math.min(due, dueOf(downstream, canForward));
         }
         ready.clear();
     }
 
     private void serve(
-            Downstream downstream, Message.Heartbeat heartbeat, boolean passOn, long now) {
+            Downstream downstream, Message.Heartbeat heartbeat, boolean canForward, long now) {
         downstream.rewindOnTimeout(now);
         FragmentBatch batch =
                 new FragmentBatch(
@@ -118,7 +125,7 @@
                         fragments ->
                                 send(downstream, new Message.Changes(heartbeat, fragments), now));
         repair(downstream, batch, now);
-        if (passOn) {
+        if (canForward) {
             forwardNew(downstream, batch, now);
         }
         batch.flush();
@@ -158,7 +165,8 @@
     }
 
     /**
-     * The next fragment for a downstream; the log may have lost what it needs, then there is none.
+     * The next fragment for a downstream; empty if it is up to date or the log no longer has the
+     * change that follows its position.
      */
     private Optional<Fragment> next(Downstream downstream) {
         return log.after(downstream.sentUpTo())
@@ -167,11 +175,11 @@
     }
 
     private Fragment fragment(Change change, int index) {
-        int most = settings.limits().messageBytes() - Fragment.HEADER_BYTES;
+        int maxPartBytes = settings.limits().messageBytes() - Fragment.HEADER_BYTES;
         byte[] body = change.body();
-        int count = Math.max(1, (body.length + most - 1) / most);
-        int from = Math.min(index, count - 1) * most;
-        byte[] part = Arrays.copyOfRange(body, from, Math.min(body.length, from + most));
+        int count = Math.max(1, (body.length + maxPartBytes - 1) / maxPartBytes);
+        int from = Math.min(index, count - 1) * maxPartBytes;
+        byte[] part = Arrays.copyOfRange(body, from, Math.min(body.length, from + maxPartBytes));
         return new Fragment(
                 change.position(),
                 change.previous(),
@@ -181,16 +189,16 @@
                 part);
     }
 
-    /** When {@link #serve} is to be called again at the latest. */
+    /** The latest time for the next call of {@link #serve}. */
     long due() {
         return due;
     }
 
-    private long dueOf(Downstream downstream, boolean passOn) {
+    private long dueOf(Downstream downstream, boolean canForward) {
         long first = Math.min(downstream.heartbeatDue(), downstream.dropDue());
         first = Math.min(first, downstream.retransmitDue());
         first = Math.min(first, repairDue(downstream));
-        return passOn ? Math.min(first, forwardDue(downstream)) : first;
+        return canForward ? Math.min(first, forwardDue(downstream)) : first;
     }
 
     private long repairDue(Downstream downstream) {
--- a/src/main/java/cairnbridge/propagation/ElapsedClock.java
+++ b/src/main/java/cairnbridge/propagation/ElapsedClock.java
@@ -1,8 +1,8 @@
 package cairnbridge.propagation;
 
 /**
- * Time that only goes on, made out of a clock that may be set: a step back counts as none, and what
- * comes after it counts from there.
+ * Monotonic elapsed time derived from a clock that may be set. A backward step of the clock adds
+ * nothing; later readings count from the new value.
  */
 final class ElapsedClock {
     private long clock;
@@ -12,14 +12,14 @@
         this.clock = clock;
     }
 
-    /** Time passed by now, from what the clock shows. */
-    long advance(long shown) {
-        elapsed += Math.max(0, shown - clock);
-        clock = shown;
+    /** Returns the elapsed time for a new clock reading. */
+    long advance(long reading) {
+        elapsed += Math.max(0, reading - clock);
+        clock = reading;
         return elapsed;
     }
 
-    /** What the clock is going to show at a time. */
+    /** Converts an elapsed time to the reading of the clock at that time. */
     long clockTimeAt(long time) {
         return time == Long.MAX_VALUE ? time : clock + time - elapsed;
     }
--- a/src/main/java/cairnbridge/propagation/Fragment.java
+++ b/src/main/java/cairnbridge/propagation/Fragment.java
@@ -1,14 +1,14 @@
 package cairnbridge.propagation;
 
 /**
- * A part of a change that fits a datagram; small changes have one fragment.
+ * A part of a change that fits into one datagram; a small change has a single fragment.
  *
  * @param position of the change
  * @param previous of the change
  * @param superseding of the change
- * @param index which fragment this is, from 0
- * @param count how many there are
- * @param bytes this part of the body
+ * @param index the index of this fragment, from 0
+ * @param count the number of fragments of the change
+ * @param bytes the section of the body in this fragment
  */
 public record Fragment(
         Position position,
@@ -17,20 +17,20 @@
         int index,
         int count,
         byte[] bytes) {
-    /** What a transport writes beside the bytes: positions, flag, index, count and length. */
+    /** The encoded size of positions, flag, index, count and length. */
     static final int HEADER_BYTES = 16;
 
-    /** Whether a receiver that holds all up to a position can take the change next. */
-    boolean follows(Position held) {
-        return position.isAfter(held) && (superseding || !previous.isAfter(held));
+    /** Whether a receiver with all changes up to a position can apply the change next. */
+    boolean follows(Position receivedUpTo) {
+        return position.isAfter(receivedUpTo) && (superseding || !previous.isAfter(receivedUpTo));
     }
 
-    /** The change, of a fragment that is all of it. */
+    /** Converts the only fragment of a change to that change. */
     Change toChange() {
         return new Change(position, previous, superseding, bytes);
     }
 
-    /** The size on the wire. */
+    /** The encoded size in bytes. */
     int size() {
         return HEADER_BYTES + bytes.length;
     }
--- a/src/main/java/cairnbridge/propagation/FragmentAssembler.java
+++ b/src/main/java/cairnbridge/propagation/FragmentAssembler.java
@@ -4,8 +4,8 @@
 import java.util.Optional;
 
 /**
- * Puts fragments together again, one change at a time. It is given only what its owner can take
- * next; should that be several changes, as after a new epoch, the latest is put together.
+ * Reassembles fragmented changes, one at a time. The owner adds only fragments of changes that it
+ * can apply next; if several changes qualify, as after a new epoch, the latest is reassembled.
  */
 final class FragmentAssembler {
     private final int maxBytes;
@@ -18,13 +18,14 @@
         this.maxBytes = maxBytes;
     }
 
-    /** Bytes held for a change that is not whole yet. */
+    /** The bytes buffered for an incomplete change. */
     int bytes() {
         return bytes;
     }
 
     /**
-     * The change, where this fragment makes one whole; fragments at odds with others are dropped.
+     * Adds a fragment; returns the change if it is complete now. Invalid fragments, and fragments
+     * inconsistent with those already buffered, are dropped.
      */
     Optional<Change> add(Fragment fragment) {
         if (fragment.count() < 1
@@ -54,15 +55,16 @@
         return --missing > 0 ? Optional.empty() : Optional.of(assemble());
     }
 
-    /** Forgets what is no longer needed by one who holds all up to a position. */
-    void discardUpTo(Position held) {
-        if (current != null && !current.position().isAfter(held)) {
+    /** Discards the incomplete change if its position is not after the given one. */
+    void discardUpTo(Position receivedUpTo) {
+        if (current != null && !current.position().isAfter(receivedUpTo)) {
             reset();
         }
     }
 
     private boolean isOfSameChange(Fragment fragment) {
-        return fragment.position().equals(current.position()) && fragment.count() == current.count();
+        return fragment.position().equals(current.position())
+                && fragment.count() == current.count();
     }
 
     private void startChange(Fragment fragment) {
@@ -85,7 +87,10 @@
         }
         Change change =
                 new Change(
-                        current.position(), current.previous(), current.superseding(), body.toByteArray());
+                        current.position(),
+                        current.previous(),
+                        current.superseding(),
+                        body.toByteArray());
         reset();
         return change;
     }
--- a/src/main/java/cairnbridge/propagation/FragmentBatch.java
+++ b/src/main/java/cairnbridge/propagation/FragmentBatch.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Gathers fragments into as few messages as they fit. */
+/** Packs consecutive fragments into messages of limited size. */
 final class FragmentBatch {
     private final int maxBytes;
     private final Consumer<List<Fragment>> sender;
@@ -24,7 +24,7 @@
         bytes += fragment.size();
     }
 
-    /** Sends what is left. */
+    /** Sends the buffered fragments, if any. */
     void flush() {
         if (!fragments.isEmpty()) {
             sender.accept(fragments);
--- a/src/main/java/cairnbridge/propagation/Message.java
+++ b/src/main/java/cairnbridge/propagation/Message.java
@@ -2,30 +2,30 @@
 
 import java.util.List;
 
-/** What members and control machines say to one another about one topic. */
+/** The messages of one topic between members and control machines. */
 public sealed interface Message {
-    /** What a transport adds to each datagram: address headers, seal, sender, kind. */
+    /** The bytes a transport adds to each datagram: address headers, seal, sender and kind. */
     int FRAME_BYTES = 110;
 
-    /** The highest epoch that the sender knows of. */
+    /** The highest epoch the sender has seen. */
     long epoch();
 
-    /** The size on the wire, as estimated from the fields. */
+    /** The estimated size in bytes of the encoded message. */
     int size();
 
     /**
-     * Goes with all that a parent tells its downstreams.
+     * Included in each message in which a parent sends changes or a keep-alive to a downstream.
      *
-     * @param epoch the highest that the sender knows of
-     * @param sequence counts the publisher's heartbeats in this epoch; it stands still where the
-     *     sender is cut off from the publisher
-     * @param hops how far the sender is from the publisher, which is 0 from itself
+     * @param epoch the highest epoch the sender has seen
+     * @param sequence counts the publisher's heartbeats in this epoch; it does not increase while
+     *     the sender is cut off from the publisher
+     * @param hops the number of hops from the publisher to the sender; 0 for the publisher
      */
     record Heartbeat(long epoch, long sequence, int hops) {
         static final int BYTES = 12;
     }
 
-    /** A parent has nothing to pass on but is there. */
+    /** A parent's heartbeat without changes. */
     record KeepAlive(Heartbeat heartbeat) implements Message {
         @Override
         public long epoch() {
@@ -38,7 +38,7 @@
         }
     }
 
-    /** A parent passes on changes. */
+    /** A parent forwards changes to a downstream. */
     record Changes(Heartbeat heartbeat, List<Fragment> fragments) implements Message {
         /** Copies the list. */
         public Changes {
@@ -59,16 +59,20 @@
     }
 
     /**
-     * A downstream says how far it is, which also keeps it subscribed, and how far those beneath it
-     * are.
+     * A downstream reports its own progress and that of the members below it. The report also
+     * creates or renews its subscription.
      *
-     * @param generation another one in each generation of the sender
-     * @param sequence grows with each report of a generation; the parts of one report share it
-     * @param held all up to here has been received, whether applied or rejected
-     * @param missingTo what comes after held up to here was lost, as later ones have come; {@link
-     *     Position#NONE} where nothing is known to be missing
-     * @param sites some of the sites beneath; each replaces what was last reported of it
-     * @param rejections some of those beneath, the sender's own first
+     * @param generation a number that differs after each restart of the sender
+     * @param sequence increases with each report of a generation; the parts of a split report have
+     *     the same number
+     * @param receivedUpTo all changes up to this position have been received, whether applied or
+     *     rejected
+     * @param missingTo the end of a gap that starts after receivedUpTo, found because later changes
+     *     have arrived; {@link Position#NONE} if no gap is known
+     * @param sites the progress of some sites below the sender; each entry replaces the last report
+     *     on that site
+     * @param rejections some rejections by the sender and the members below it, the sender's own
+     *     first
      */
     record Report(
             long epoch,
@@ -96,7 +100,7 @@
         }
     }
 
-    /** A downstream has found another parent. */
+    /** A downstream unsubscribes because it changes its parent. */
     record Leave(long epoch) implements Message {
         @Override
         public int size() {
@@ -104,13 +108,13 @@
         }
     }
 
-    /** A parent does not serve this downstream, who is to ask another. */
+    /** A parent refuses a subscription; the downstream must try another candidate. */
     record SubscriptionRejected(long epoch, Reason reason) implements Message {
-        /** Why. */
+        /** The reason of the refusal. */
         public enum Reason {
-            /** It has as many downstreams as it may have. */
+            /** The parent has reached its limit of downstreams. */
             FULL,
-            /** What the downstream lacks is no longer in its log. */
+            /** The parent's log no longer has the changes the downstream needs. */
             LOG_TOO_SHORT
         }
 
--- a/src/main/java/cairnbridge/propagation/NotActiveException.java
+++ b/src/main/java/cairnbridge/propagation/NotActiveException.java
@@ -1,6 +1,8 @@
 package cairnbridge.propagation;
 
-/** A publisher was asked to publish after it had been fenced off or found itself behind. */
+/**
+ * Thrown by a publish call on a publisher that is fenced or behind; see {@link Publisher.State}.
+ */
 public final class NotActiveException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/cairnbridge/propagation/ParentSelector.java
+++ b/src/main/java/cairnbridge/propagation/ParentSelector.java
@@ -4,14 +4,14 @@
 import java.util.List;
 
 /**
- * Which of the candidates is the parent now. One is given up when it is silent, when it is cut off
- * from the publisher for long, or when it rejects the downstream; the next one in the list follows,
- * after the last the first.
+ * Selects the parent from an ordered list of candidates. The parent is replaced when it is silent,
+ * when it has been cut off from the publisher for too long, or when it rejects the subscription.
+ * The next candidate in the list is tried then; after the last, the first.
  */
 final class ParentSelector {
     private static final int UNKNOWN_HOPS = Integer.MAX_VALUE;
 
-    /** Subscriptions that one candidate is sent without an answer. */
+    /** The number of subscription attempts to a candidate that does not answer. */
     private static final int SUBSCRIPTION_ATTEMPTS = 3;
 
     private final PropagationSettings settings;
@@ -60,19 +60,22 @@
         return candidates.contains(id);
     }
 
-    /** A new list; the parent is kept where it is in it. */
-    void replace(List<MemberId> fresh, long now) {
+    /** Replaces the candidates; keeps the parent if the new list contains it. */
+    void replace(List<MemberId> newCandidates, long now) {
         MemberId parent = isEmpty() ? null : parent();
-        candidates = List.copyOf(fresh);
-        int kept = candidates.indexOf(parent);
-        if (kept >= 0) {
-            index = kept;
+        candidates = List.copyOf(newCandidates);
+        int keptIndex = candidates.indexOf(parent);
+        if (keptIndex >= 0) {
+            index = keptIndex;
         } else {
             choose(0, now);
         }
     }
 
-    /** A candidate has sent a message; whether it takes the place of the parent by that. */
+    /**
+     * Handles a heartbeat of a candidate; returns whether the candidate becomes the parent because
+     * of it.
+     */
     boolean handleHeartbeat(MemberId from, Message.Heartbeat heartbeat, long now) {
         boolean isCurrent = isCurrent(heartbeat);
         if (isNewer(heartbeat)) {
@@ -96,7 +99,10 @@
         return true;
     }
 
-    /** Guards against going back to one that was frozen, or is cut off, and does not know it. */
+    /**
+     * Guards against switching to a candidate that was frozen or is cut off from the publisher and
+     * therefore sends outdated heartbeats.
+     */
     private boolean isCurrent(Message.Heartbeat heartbeat) {
         return heartbeat.epoch() > heartbeatEpoch
                 || (heartbeat.epoch() == heartbeatEpoch && heartbeat.sequence() >= sequence - 1);
@@ -107,12 +113,12 @@
                 || (heartbeat.epoch() == heartbeatEpoch && heartbeat.sequence() > sequence);
     }
 
-    /** The newest heartbeat of the publisher. */
+    /** The number of the publisher's newest heartbeat seen in the current epoch, or 0. */
     long sequence() {
         return Math.max(0, sequence);
     }
 
-    /** Whether the parent has to be given up. */
+    /** Whether the parent must be replaced. */
     boolean isLost(long now) {
         return now >= lossDeadline();
     }
@@ -124,7 +130,10 @@
                 detachedSince + settings.heartbeat().detachedTimeout());
     }
 
-    /** A candidate that has never answered is given up sooner than a parent that falls silent. */
+    /**
+     * The silence tolerated before the parent is replaced: shorter for a candidate that has never
+     * answered than for a parent that has.
+     */
     private long silenceTimeout() {
         return answered
                 ? settings.heartbeat().parentTimeout()
@@ -133,7 +142,7 @@
                         SUBSCRIPTION_ATTEMPTS * settings.heartbeat().subscribeTimeout());
     }
 
-    /** The parent does not serve this downstream; the next one is asked a little later. */
+    /** Handles a rejected subscription: the next candidate is tried after one subscribe timeout. */
     void handleRejection(long now) {
         answered = true;
         lastHeardAt =
@@ -146,7 +155,10 @@
         choose((index + 1) % candidates.size(), now);
     }
 
-    /** Whether a subscription has stayed without an answer; asked once for each. */
+    /**
+     * Whether the subscription has to be sent again because it was not answered. Returning true
+     * restarts the subscribe timeout.
+     */
     boolean isSubscriptionDue(long now) {
         if (answered || now < subscribedAt + settings.heartbeat().subscribeTimeout()) {
             return false;
@@ -155,7 +167,10 @@
         return true;
     }
 
-    /** Whether the first candidate is to be asked now, as the parent is another. */
+    /**
+     * Whether to send a report to the first candidate now because another one is the parent.
+     * Returning true restarts the interval.
+     */
     boolean isPreferredDue(long now) {
         if (index == 0
                 || parentHops == 0
--- a/src/main/java/cairnbridge/propagation/Position.java
+++ b/src/main/java/cairnbridge/propagation/Position.java
@@ -1,28 +1,28 @@
 package cairnbridge.propagation;
 
 /**
- * The place of a change in the order of all changes of its topic: by epoch first, then by version.
+ * The position of a change in the total order of its topic: by epoch first, then by version.
  *
- * @param epoch which source published it; each start of a publisher needs a higher one
- * @param version counts the changes, on through all epochs
+ * @param epoch identifies the publisher; each start of a publisher needs a higher epoch
+ * @param version the number of the change; it continues across epochs
  */
 public record Position(long epoch, long version) implements Comparable<Position> {
-    /** Before all changes. */
+    /** The position before the first change. */
     public static final Position NONE = new Position(0, 0);
 
-    /** Checks the numbers. */
+    /** Rejects negative numbers. */
     public Position {
         if (epoch < 0 || version < 0) {
             throw new IllegalArgumentException("epoch and version cannot be negative");
         }
     }
 
-    /** Whether this comes after another. */
+    /** Whether this position is later than another. */
     public boolean isAfter(Position other) {
         return compareTo(other) > 0;
     }
 
-    /** The later of two. */
+    /** Returns the later of two positions. */
     public static Position later(Position one, Position other) {
         return one.isAfter(other) ? one : other;
     }
--- a/src/main/java/cairnbridge/propagation/ProgressTable.java
+++ b/src/main/java/cairnbridge/propagation/ProgressTable.java
@@ -7,14 +7,19 @@
 import java.util.NavigableMap;
 import java.util.TreeMap;
 
-/** Adds up what is reported of sites: for each the members by the latest position in force. */
+/**
+ * Merges progress reports of sites: for each site, the members by the position they have in force.
+ */
 final class ProgressTable {
-    /** With more positions at one site, some members are reported with less than they have. */
+    /**
+     * The maximum number of positions reported per site. If a site has more, some members are
+     * reported at an earlier position than they have in force.
+     */
     static final int MAX_STEPS = 4;
 
     private final Map<String, TreeMap<Position, Long>> sites = new HashMap<>();
 
-    /** Members count at the latest position that anyone reports of them. */
+    /** Adds a report. A member reported at several positions counts at the latest of them. */
     void add(SiteProgress progress) {
         TreeMap<Position, Long> steps =
                 sites.computeIfAbsent(progress.site(), site -> new TreeMap<>());
@@ -22,14 +27,15 @@
                 .forEach(step -> steps.merge(step.position(), step.members(), (a, b) -> a | b));
     }
 
-    /** All sites, each with as many steps as a report may have. */
+    /** The progress of all sites, each with at most {@link #MAX_STEPS} steps. */
     List<SiteProgress> sites() {
         List<SiteProgress> all = new ArrayList<>();
-        sites.forEach((site, steps) -> all.add(new SiteProgress(site, limitSteps(distinct(steps)))));
+        sites.forEach(
+                (site, steps) -> all.add(new SiteProgress(site, limitSteps(distinct(steps)))));
         return all;
     }
 
-    /** The members of a site that have a position or a later one in force. */
+    /** The bit set of a site's members that have this position or a later one in force. */
     long membersAt(String site, Position position) {
         NavigableMap<Position, Long> steps = sites.getOrDefault(site, new TreeMap<>());
         return steps.tailMap(position, true).values().stream().reduce(0L, (a, b) -> a | b);
@@ -48,22 +54,25 @@
         return distinct;
     }
 
-    /** Joins the smallest step to the one below it until few are left. */
+    /**
+     * Repeatedly merges the step with the fewest members into the next earlier position, until at
+     * most {@link #MAX_STEPS} are left.
+     */
     private static List<SiteProgress.Step> limitSteps(List<SiteProgress.Step> steps) {
-        List<SiteProgress.Step> fewer = new ArrayList<>(steps);
-        while (fewer.size() > MAX_STEPS) {
+        List<SiteProgress.Step> limited = new ArrayList<>(steps);
+        while (limited.size() > MAX_STEPS) {
             int smallest = 0;
-            for (int i = 1; i < fewer.size() - 1; i++) {
-                if (count(fewer.get(i)) < count(fewer.get(smallest))) {
+            for (int i = 1; i < limited.size() - 1; i++) {
+                if (count(limited.get(i)) < count(limited.get(smallest))) {
                     smallest = i;
                 }
             }
-            SiteProgress.Step above = fewer.remove(smallest);
-            SiteProgress.Step below = fewer.get(smallest);
+            SiteProgress.Step above = limited.remove(smallest);
+            SiteProgress.Step below = limited.get(smallest);
             long both = above.members() | below.members();
-            fewer.set(smallest, new SiteProgress.Step(below.position(), both));
+            limited.set(smallest, new SiteProgress.Step(below.position(), both));
         }
-        return fewer;
+        return limited;
     }
 
     private static int count(SiteProgress.Step step) {
--- a/src/main/java/cairnbridge/propagation/PropagationHost.java
+++ b/src/main/java/cairnbridge/propagation/PropagationHost.java
@@ -2,8 +2,8 @@
 
 import cairnbridge.fleet.member.MemberId;
 
-/** What a state machine of this package asks to be done; returns at once. */
+/** The output side of a state machine of this package; its methods must not block. */
 public interface PropagationHost {
-    /** May be lost, doubled, or overtaken. */
+    /** Sends a message, which may be lost, duplicated or reordered. */
     void send(MemberId to, Message message);
 }
--- a/src/main/java/cairnbridge/propagation/PropagationSettings.java
+++ b/src/main/java/cairnbridge/propagation/PropagationSettings.java
@@ -3,25 +3,25 @@
 import cairnbridge.time.Ticks;
 
 /**
- * The parameters of propagation.
+ * The timeouts, flow control and limits of one topic.
  *
- * @param heartbeat how a subscriber and its parent keep one another
- * @param reports how subscribers report what is in force
- * @param flow how changes are sent to one downstream
- * @param limits what is kept and sent at most
+ * @param heartbeat timeouts and intervals between a subscriber and its parent
+ * @param reports delays of reports and of forwarding
+ * @param flow flow control of the changes sent to one downstream
+ * @param limits maximum sizes and counts
  */
 public record PropagationSettings(
         HeartbeatSettings heartbeat, ReportSettings reports, FlowSettings flow, Limits limits) {
 
     /**
-     * Timeouts between a subscriber and its parent. Durations are in ticks.
+     * Timeouts and intervals between a subscriber and its parent, in ticks.
      *
-     * @param interval a parent sends something to each downstream at least this often
-     * @param parentTimeout a parent that is silent for this long is given up
-     * @param detachedTimeout a parent is given up that sends heartbeats, but has heard nothing new
-     *     of the publisher for this long
-     * @param preferredParentInterval a subscriber whose parent is not its first candidate asks that
-     *     one this often
+     * @param interval the maximum time between two messages of a parent to a downstream
+     * @param parentTimeout a parent that is silent for this long is replaced
+     * @param detachedTimeout a parent whose heartbeats carry no new sequence number of the
+     *     publisher for this long is replaced
+     * @param preferredParentInterval a subscriber whose parent is not its first candidate sends the
+     *     first candidate a report at this interval
      * @param subscribeTimeout an unanswered subscription is sent again after this long
      * @param downstreamTimeout a downstream that is silent for this long is dropped
      */
@@ -32,7 +32,7 @@
             long preferredParentInterval,
             long subscribeTimeout,
             long downstreamTimeout) {
-        /** For all topics. */
+        /** The values used for all topics. */
         public static final HeartbeatSettings DEFAULT =
                 new HeartbeatSettings(
                         500 * Ticks.MILLISECOND,
@@ -44,23 +44,24 @@
     }
 
     /**
-     * Delays that gather what is to be sent. Durations are in ticks.
+     * Intervals and batching delays of reports and changes, in ticks.
      *
-     * @param interval a subscriber reports at least this often
-     * @param delay news of downstreams is gathered for this long before it is reported
-     * @param batchDelay changes are gathered for this long before they are passed on
+     * @param interval the maximum time between two reports of a subscriber
+     * @param delay changed reports of downstreams are batched for this long before they are
+     *     reported
+     * @param batchDelay changes are batched for this long before they are forwarded
      */
     public record ReportSettings(long interval, long delay, long batchDelay) {}
 
     /**
-     * Flow control towards one downstream. Durations are in ticks.
+     * Flow control for one downstream; durations are in ticks.
      *
-     * @param retransmitTimeout what is not acknowledged is sent again after this long; the timeout
-     *     doubles with each repetition
-     * @param maxRetransmitTimeout up to this
-     * @param bytesPerSecond what is sent at most, on average
-     * @param burstBytes what may be saved up
-     * @param windowBytes what may be sent and not acknowledged
+     * @param retransmitTimeout unacknowledged changes are sent again after this long; the timeout
+     *     doubles with each retransmission
+     * @param maxRetransmitTimeout the upper bound of the doubled timeout
+     * @param bytesPerSecond the maximum average rate of sending
+     * @param burstBytes the maximum unused credit that can accumulate
+     * @param windowBytes the maximum number of unacknowledged bytes in flight
      */
     public record FlowSettings(
             long retransmitTimeout,
@@ -70,21 +71,21 @@
             int windowBytes) {}
 
     /**
-     * Limits.
+     * Maximum sizes and counts.
      *
-     * @param messageBytes fragments of one message, without its frame
-     * @param changeBytes the body of one change
-     * @param logChanges changes that are kept for those that are behind
-     * @param logBytes the bodies of these
-     * @param downstreams the downstreams of one process
+     * @param messageBytes the payload of one message, without its frame
+     * @param changeBytes the size of the body of one change
+     * @param logChanges the number of changes retained for downstreams that are behind
+     * @param logBytes the total size of the bodies of the retained changes
+     * @param downstreams the number of downstreams of one process
      */
     public record Limits(
             int messageBytes, int changeBytes, int logChanges, int logBytes, int downstreams) {}
 
     /**
-     * A few large changes, each passed on at once. The timeout of a retransmission does not grow:
-     * four of them, at any of four hops, have to fit into the 3 s in which a change is to be in
-     * force. What they may cost is limited by the bytes a second.
+     * For infrequent, large changes, each forwarded at once. The retransmission timeout does not
+     * grow: four retransmissions, spread over any of four hops, must fit into the 3 s within which
+     * a change has to be in force. The byte rate limits their cost.
      */
     public static final PropagationSettings CONFIGURATIONS =
             new PropagationSettings(
@@ -98,7 +99,7 @@
                             131_072),
                     new Limits(1_000, 65_536, 256, 1 << 20, 300));
 
-    /** Many small changes, gathered for a quarter of a second at each hop. */
+    /** For frequent, small changes, batched for a quarter of a second at each hop. */
     public static final PropagationSettings PURGES =
             new PropagationSettings(
                     HeartbeatSettings.DEFAULT,
--- a/src/main/java/cairnbridge/propagation/Publisher.java
+++ b/src/main/java/cairnbridge/propagation/Publisher.java
@@ -5,20 +5,20 @@
 import java.util.List;
 
 /**
- * Publishes changes in order and knows at whom they are in force. Whoever starts one has to see to
- * it that its epoch is higher than that of any publisher started before; nothing here agrees on
- * that.
+ * Publishes changes in order and tracks at which members they are in force. The caller must ensure
+ * that the epoch is higher than that of every publisher started before; this class does not
+ * negotiate epochs.
  *
- * <p>It stops for good as soon as it hears of a higher epoch, or of changes of its own epoch that
- * it does not know of.
+ * <p>A publisher stops permanently when it receives a message with a higher epoch, or a report of
+ * changes of its own epoch that are not in its log.
  */
 public final class Publisher {
-    /** Whether it may publish. */
+    /** Whether the publisher is allowed to publish. */
     public enum State {
         ACTIVE,
-        /** There is a publisher of a higher epoch. */
+        /** A message with a higher epoch has arrived: another publisher has replaced this one. */
         FENCED,
-        /** Somebody holds changes of this epoch that are not in this source's log. */
+        /** A subscriber reports changes of this epoch that are not in this publisher's log. */
         BEHIND
     }
 
@@ -37,12 +37,12 @@
     private long batchUntil;
 
     /**
-     * One that goes on from a log.
+     * Creates a publisher that continues a log.
      *
-     * @param epoch higher than that of any publisher before
-     * @param log of the subscriber that becomes the publisher, or an empty one
-     * @param peers the other control machines, which are notified of it
-     * @param members those at whom a change is to come into force
+     * @param epoch higher than that of any earlier publisher
+     * @param log the log of the subscriber that becomes the publisher, or an empty log
+     * @param peers the other control machines, which receive the publisher's heartbeats
+     * @param members the members at which each change has to come into force
      */
     public Publisher(
             long epoch,
@@ -53,7 +53,8 @@
             PropagationHost host,
             long time) {
         if (log.last().epoch() >= epoch) {
-            throw new IllegalArgumentException("the log is of an epoch that is not lower");
+            throw new IllegalArgumentException(
+                    "the epoch of the log must be lower than that of the publisher");
         }
         this.epoch = epoch;
         this.log = log;
@@ -67,49 +68,51 @@
         batchUntil = now;
     }
 
-    /** Whether it may publish. */
+    /** Whether the publisher is allowed to publish. */
     public State state() {
         return state;
     }
 
-    /** The newest change. */
+    /** The position of the newest change. */
     public Position last() {
         return log.last();
     }
 
-    /** How many nodes are subscribed to it. */
+    /** The number of subscribed downstreams. */
     public int downstreams() {
         return downstreams.size();
     }
 
-    /** The most that is on its way to any downstream, in bytes. */
+    /** The maximum number of bytes in flight to a single downstream. */
     public int maxInFlightBytes() {
         return downstreams.maxInFlightBytes();
     }
 
     /**
-     * How often somebody lacked changes that are no longer kept. Only a superseding change helps
-     * them.
+     * How many subscriptions were rejected because the log no longer has the changes needed. Such a
+     * subscriber can continue only after the next superseding change.
      */
     public long logTooShortRejections() {
         return downstreams.logTooShortRejections();
     }
 
     /**
-     * Publishes a change.
+     * Publishes a change to all subscribed downstreams.
      *
-     * @param superseding whether it replaces all before it
-     * @throws NotActiveException where this source was fenced off or is behind
-     * @throws IllegalArgumentException where the body is larger than the settings allow
+     * @param superseding whether the change replaces all earlier ones
+     * @throws NotActiveException if this publisher is fenced or behind
+     * @throws IllegalArgumentException if the body is larger than the settings allow
      */
     public Position publish(byte[] body, boolean superseding, long time) {
         advance(time);
         if (state != State.ACTIVE) {
-            throw new NotActiveException("the source of epoch " + epoch + " is " + state);
+            throw new NotActiveException("the publisher of epoch " + epoch + " is " + state);
         }
         if (body.length > settings.limits().changeBytes()) {
             throw new IllegalArgumentException(
-                    "a change has at most " + settings.limits().changeBytes() + " bytes");
+                    "the body of a change has at most "
+                            + settings.limits().changeBytes()
+                            + " bytes");
         }
         Position previous = log.last();
         Position position = new Position(epoch, previous.version() + 1);
@@ -121,7 +124,7 @@
         return position;
     }
 
-    /** Handles a message. */
+    /** Handles a message from a subscriber or another control machine. */
     public void handle(MemberId from, Message message, long time) {
         advance(time);
         if (message.epoch() > epoch) {
@@ -131,7 +134,8 @@
             downstreams.remove(from);
         }
         if (message instanceof Message.Report report && state == State.ACTIVE) {
-            if (report.receivedUpTo().isAfter(log.last()) && report.receivedUpTo().epoch() == epoch) {
+            if (report.receivedUpTo().isAfter(log.last())
+                    && report.receivedUpTo().epoch() == epoch) {
                 state = State.BEHIND;
             } else {
                 downstreams.handleReport(from, report, heartbeat(), now);
@@ -148,7 +152,10 @@
         return new Message.Heartbeat(epoch, heartbeat, 0);
     }
 
-    /** Does what is due now. */
+    /**
+     * Sends the heartbeats, changes and retransmissions that are due, and removes silent
+     * downstreams.
+     */
     public void fireTimers(long time) {
         advance(time);
         if (state != State.ACTIVE) {
@@ -163,7 +170,7 @@
         downstreams.serve(heartbeat(), now >= batchUntil, now);
     }
 
-    /** When {@link #fireTimers} is to be called next at the latest, by the caller's clock. */
+    /** The latest time, by the caller's clock, for the next call of {@link #fireTimers}. */
     public long nextTimer() {
         return clock.clockTimeAt(elapsedDue());
     }
@@ -176,7 +183,7 @@
         return now < batchUntil ? Math.min(due, batchUntil) : due;
     }
 
-    /** At whom a change is in force now, as far as is known here. */
+    /** The members that have a change in force, according to the reports received so far. */
     public Coverage coverage(Position position) {
         ProgressTable table = new ProgressTable();
         downstreams.addProgress(table, now);
--- a/src/main/java/cairnbridge/propagation/RelayTree.java
+++ b/src/main/java/cairnbridge/propagation/RelayTree.java
@@ -14,16 +14,17 @@
 import java.util.TreeMap;
 
 /**
- * Assigns the candidates for parent: a region's relays ask the control machines, a site's relays
- * ask the region's, members ask the site's; where none of these helps, the control machines. Who is
- * relay is decided by rendezvous hashing (Thaler and Ravishankar 1998), so that a member that comes
- * or goes moves few of the others.
+ * Assigns the candidate parents: region relays subscribe to control machines, site relays to region
+ * relays, other members to site relays. Control machines are the last candidates of every member.
+ * Relays are chosen by rendezvous hashing (Thaler and Ravishankar 1998), so that a member that
+ * joins or leaves changes the candidates of few others.
  *
- * <p>Each candidate ranks before those who may ask it, hence no cycle can come about as long as all
- * have the same assignment; with different ones a cycle shows by heartbeats that stand still.
+ * <p>Each candidate ranks before its possible downstreams, so no cycle can form while all members
+ * use the same assignment. With differing assignments a cycle is detected because its heartbeat
+ * sequence numbers stop increasing.
  */
 public final class RelayTree {
-    /** Candidates of each site and region. */
+    /** The number of candidate relays of each site and region. */
     public static final int CANDIDATES = 3;
 
     private final List<MemberId> controls;
@@ -32,29 +33,30 @@
     private final Map<String, List<MemberId>> siteRelays = new HashMap<>();
 
     /**
-     * Computes the tree.
+     * Chooses the relays of all regions and sites.
      *
      * @param controls all control machines
-     * @param alive the members that are live
+     * @param alive the members that are alive
      */
     public RelayTree(List<MemberId> controls, Collection<MemberLocation> alive) {
         this.controls = List.copyOf(controls);
         Map<String, List<MemberLocation>> regions = new TreeMap<>();
         Map<String, List<MemberLocation>> sites = new TreeMap<>();
-        for (MemberLocation place : alive) {
-            locations.put(place.member(), place);
-            regions.computeIfAbsent(place.region(), region -> new ArrayList<>()).add(place);
-            sites.computeIfAbsent(place.site(), site -> new ArrayList<>()).add(place);
+        for (MemberLocation location : alive) {
+            locations.put(location.member(), location);
+            regions.computeIfAbsent(location.region(), region -> new ArrayList<>()).add(location);
+            sites.computeIfAbsent(location.site(), site -> new ArrayList<>()).add(location);
         }
-        regions.forEach((region, places) -> regionRelays.put(region, chooseRegionRelays(region, places)));
-        sites.forEach((site, places) -> siteRelays.put(site, chooseSiteRelays(site, places)));
+        regions.forEach(
+                (region, members) -> regionRelays.put(region, chooseRegionRelays(region, members)));
+        sites.forEach((site, members) -> siteRelays.put(site, chooseSiteRelays(site, members)));
     }
 
-    /** The candidates for a member's parent, the best first. */
+    /** The candidate parents of a member, the preferred one first. */
     public List<MemberId> parentsOf(MemberId member) {
-        MemberLocation place = locations.get(member);
-        List<MemberId> region = regionRelays.get(place.region());
-        List<MemberId> site = siteRelays.get(place.site());
+        MemberLocation location = locations.get(member);
+        List<MemberId> region = regionRelays.get(location.region());
+        List<MemberId> site = siteRelays.get(location.site());
         List<MemberId> parents = new ArrayList<>();
         if (region.contains(member)) {
             parents.addAll(region.subList(0, region.indexOf(member)));
@@ -65,61 +67,64 @@
             parents.addAll(site);
             parents.addAll(region);
         }
-        parents.addAll(controlsFor(place.site()));
+        parents.addAll(controlsFor(location.site()));
         return parents.stream().distinct().toList();
     }
 
-    /** The control machines in the order in which a site's members ask them. */
+    /** The control machines in the order in which the members of a site try them. */
     public List<MemberId> controlsFor(String site) {
         return controls.stream().sorted(byWeight(site)).toList();
     }
 
-    /** The members that may become relay of a region, the first of them first. */
+    /** The candidate relays of a region, the preferred one first. */
     public List<MemberId> relaysOfRegion(String region) {
         return regionRelays.get(region);
     }
 
-    /** The members that may become relay of a site, the first of them first. */
+    /** The candidate relays of a site, the preferred one first. */
     public List<MemberId> relaysOfSite(String site) {
         return siteRelays.get(site);
     }
 
-    /** Of different sites where there are enough, as a site may lose its power as a whole. */
-    private static List<MemberId> chooseRegionRelays(String region, List<MemberLocation> places) {
+    /**
+     * Chooses relays at different sites if the region has enough sites, because a whole site can
+     * lose power at once.
+     */
+    private static List<MemberId> chooseRegionRelays(String region, List<MemberLocation> members) {
         List<MemberLocation> sorted =
-                places.stream()
+                members.stream()
                         .sorted(Comparator.comparing(MemberLocation::member, byWeight(region)))
                         .toList();
         List<MemberId> relays = new ArrayList<>();
         Set<String> sites = new HashSet<>();
-        for (MemberLocation place : sorted) {
-            if (relays.size() < CANDIDATES && sites.add(place.site())) {
-                relays.add(place.member());
+        for (MemberLocation location : sorted) {
+            if (relays.size() < CANDIDATES && sites.add(location.site())) {
+                relays.add(location.member());
             }
         }
-        for (MemberLocation place : sorted) {
-            if (relays.size() < CANDIDATES && !relays.contains(place.member())) {
-                relays.add(place.member());
+        for (MemberLocation location : sorted) {
+            if (relays.size() < CANDIDATES && !relays.contains(location.member())) {
+                relays.add(location.member());
             }
         }
         return List.copyOf(relays);
     }
 
-    /** Relays of the region come last, as they have enough to do. */
-    private List<MemberId> chooseSiteRelays(String site, List<MemberLocation> places) {
+    /** Prefers members that are not region relays, because those already have many downstreams. */
+    private List<MemberId> chooseSiteRelays(String site, List<MemberLocation> members) {
         Comparator<MemberId> relaysLast =
                 Comparator.comparing(
                         member ->
                                 regionRelays.get(locations.get(member).region()).contains(member));
-        return places.stream()
+        return members.stream()
                 .map(MemberLocation::member)
                 .sorted(relaysLast.thenComparing(byWeight(site)))
                 .limit(CANDIDATES)
                 .toList();
     }
 
-    private static Comparator<MemberId> byWeight(String duty) {
-        long hash = Fnv1a.hash(duty);
+    private static Comparator<MemberId> byWeight(String scope) {
+        long hash = Fnv1a.hash(scope);
         return Comparator.comparingLong(
                         (MemberId member) -> SplitMix64.mix(Fnv1a.hash(member.name()), hash))
                 .reversed()
--- a/src/main/java/cairnbridge/propagation/ReorderBuffer.java
+++ b/src/main/java/cairnbridge/propagation/ReorderBuffer.java
@@ -4,7 +4,9 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** Changes that came before those they follow, kept until the gap is closed; bounded by bytes. */
+/**
+ * Buffers changes that arrived before their predecessors until the gap is closed; bounded in bytes.
+ */
 final class ReorderBuffer {
     private final int maxBytes;
     private final TreeMap<Position, Change> changes = new TreeMap<>();
@@ -18,7 +20,7 @@
         return bytes;
     }
 
-    /** Keeps one where there is room. */
+    /** Buffers a change if there is room; ignores it otherwise. */
     void add(Change change) {
         int size = sizeOf(change);
         if (bytes + size <= maxBytes && changes.putIfAbsent(change.position(), change) == null) {
@@ -26,12 +28,15 @@
         }
     }
 
-    /** The next change that one can take who holds all up to a position; it is kept no longer. */
-    Optional<Change> takeNext(Position held) {
+    /**
+     * Removes and returns the change that a receiver with all changes up to a position can apply
+     * next. Obsolete changes are removed on the way.
+     */
+    Optional<Change> takeNext(Position receivedUpTo) {
         while (!changes.isEmpty()) {
             Change first = changes.firstEntry().getValue();
-            boolean follows = first.follows(held);
-            if (!follows && first.position().isAfter(held)) {
+            boolean follows = first.follows(receivedUpTo);
+            if (!follows && first.position().isAfter(receivedUpTo)) {
                 return Optional.empty();
             }
             changes.pollFirstEntry();
@@ -43,7 +48,10 @@
         return Optional.empty();
     }
 
-    /** What is missing ends here; {@link Position#NONE} where nothing is known to be missing. */
+    /**
+     * The last position missing before the first buffered change; {@link Position#NONE} if nothing
+     * is buffered.
+     */
     Position missingTo() {
         Map.Entry<Position, Change> first = changes.firstEntry();
         return first == null ? Position.NONE : first.getValue().previous();
--- a/src/main/java/cairnbridge/propagation/RetainedLog.java
+++ b/src/main/java/cairnbridge/propagation/RetainedLog.java
@@ -4,8 +4,8 @@
 import java.util.TreeMap;
 
 /**
- * The newest changes, kept for those who are behind. A superseding change takes the place of all
- * before it; beyond its bounds the log forgets the oldest.
+ * The newest changes, retained for subscribers that are behind. A superseding change replaces all
+ * earlier ones; the oldest changes are removed when the log exceeds its bounds.
  */
 public final class RetainedLog {
     private final int maxChanges;
@@ -14,15 +14,15 @@
     private Position last = Position.NONE;
     private int bytes;
 
-    /** An empty log with the bounds of these settings. */
+    /** Creates an empty log with the bounds in the settings. */
     public RetainedLog(PropagationSettings settings) {
         maxChanges = settings.limits().logChanges();
         maxBytes = settings.limits().logBytes();
     }
 
     /**
-     * The log of one who has a change in force from an earlier generation, and of what was before
-     * it only the place.
+     * Creates a log whose only entry, if any, is the change a subscriber had in force before a
+     * restart.
      */
     static RetainedLog startingWith(PropagationSettings settings, Optional<Change> latest) {
         RetainedLog log = new RetainedLog(settings);
@@ -30,22 +30,22 @@
         return log;
     }
 
-    /** The place of the newest change, kept or not. */
+    /** The position of the newest change appended; {@link Position#NONE} in an empty log. */
     public Position last() {
         return last;
     }
 
-    /** Changes kept. */
+    /** The number of changes retained. */
     public int size() {
         return changes.size();
     }
 
-    /** Bytes of the bodies kept. */
+    /** The total size of the retained bodies in bytes. */
     public int bytes() {
         return bytes;
     }
 
-    /** Adds one that comes after all others. */
+    /** Appends a change, whose position must be after that of the newest. */
     void append(Change change) {
         if (!change.position().isAfter(last)) {
             throw new IllegalArgumentException(change.position() + " is not after " + last);
@@ -62,14 +62,18 @@
         }
     }
 
-    /** The next change for one that holds all up to a position; empty where there is none. */
-    Optional<Change> after(Position held) {
-        return Optional.ofNullable(changes.higherEntry(held)).map(entry -> entry.getValue());
+    /** The first retained change after a position, if any. */
+    Optional<Change> after(Position receivedUpTo) {
+        return Optional.ofNullable(changes.higherEntry(receivedUpTo))
+                .map(entry -> entry.getValue());
     }
 
-    /** Whether one that holds all up to a position lacks changes that are no longer kept. */
-    boolean isTooShortFor(Position held) {
-        Optional<Change> next = after(held);
-        return next.isPresent() ? !next.get().follows(held) : last.isAfter(held);
+    /**
+     * Whether a receiver with all changes up to a position needs changes that are no longer
+     * retained.
+     */
+    boolean isTooShortFor(Position receivedUpTo) {
+        Optional<Change> next = after(receivedUpTo);
+        return next.isPresent() ? !next.get().follows(receivedUpTo) : last.isAfter(receivedUpTo);
     }
 }
--- a/src/main/java/cairnbridge/propagation/SiteProgress.java
+++ b/src/main/java/cairnbridge/propagation/SiteProgress.java
@@ -3,24 +3,25 @@
 import java.util.List;
 
 /**
- * How far some members of a site are. Members are bits, see {@link MemberLocation#slot}, so that
- * one who is reported by two relays counts once.
+ * The positions that members of a site have in force. Members are encoded as bits, see {@link
+ * MemberLocation#slot}, so that a member reported by two relays counts once.
  *
- * @param steps by descending position, no bit in two of them
+ * @param steps members by position, in descending order of position; each bit is set in at most one
+ *     step
  */
 public record SiteProgress(String site, List<Step> steps) {
     private static final int HEADER_BYTES = 2;
     private static final int STEP_BYTES = 13;
 
-    /** These members have this position in force, or a later one that is not reported. */
+    /** The members that have at least this position in force. */
     public record Step(Position position, long members) {}
 
-    /** Copies the list. */
+    /** Makes an immutable copy of the list. */
     public SiteProgress {
         steps = List.copyOf(steps);
     }
 
-    /** The size on the wire. */
+    /** The encoded size in bytes. */
     int size() {
         return HEADER_BYTES + site.length() + STEP_BYTES * steps.size();
     }
--- a/src/main/java/cairnbridge/propagation/Subscriber.java
+++ b/src/main/java/cairnbridge/propagation/Subscriber.java
@@ -8,15 +8,17 @@
 import java.util.Optional;
 
 /**
- * A receiver of changes, which also passes them on to those who subscribe with it. Whether it is a
- * relay is only a matter of whether others name it as their candidate.
+ * Receives changes from a parent and forwards them to subscribed downstreams. A subscriber acts as
+ * a relay if other members have it as a candidate parent; it needs no configuration for that.
  *
- * <p>It never applies a change it has rejected, nor one that is not after all it has received:
- * doubled, late and overtaken messages change nothing. Messages of an epoch lower than the highest
- * it knows of are ignored, and are answered with that epoch.
+ * <p>A subscriber never applies a change that it has rejected or that is not after all changes
+ * received: duplicated, late and reordered messages have no effect. Messages with an epoch lower
+ * than the highest one seen are ignored and answered with a report that carries the highest epoch.
  */
 public final class Subscriber {
-    /** News is reported this often again soon, as a report may be lost. */
+    /**
+     * How many times a changed report is repeated at short intervals, because reports can be lost.
+     */
     private static final int CHANGE_REPORT_REPETITIONS = 2;
 
     private final MemberId id;
@@ -42,12 +44,13 @@
     private long reportNumber;
 
     /**
-     * One that has something in force from an earlier generation.
+     * Creates a subscriber that continues with the change in force before a restart, if any.
      *
-     * @param generation another number in each generation of the member
-     * @param location empty for control machines, who are not counted
-     * @param candidates for parent, the best first
-     * @param latest what is in force from an earlier generation
+     * @param generation a number that differs after each restart of the member
+     * @param location the location of a member; empty for control machines, which are not counted
+     *     in the coverage
+     * @param candidates the candidate parents, the preferred one first
+     * @param latest the change in force before the restart, if any
      */
     public Subscriber(
             MemberId id,
@@ -76,52 +79,55 @@
         batchUntil = now;
     }
 
-    /** The newest change in force here. */
+    /** The position of the newest change in force at this subscriber. */
     public Position inForce() {
         return inForce;
     }
 
-    /** All up to here has been received. */
+    /** The position up to which all changes have been received. */
     public Position receivedUpTo() {
         return receivedUpTo;
     }
 
-    /** The highest epoch it knows of. */
+    /** The highest epoch seen so far. */
     public long epoch() {
         return epoch;
     }
 
-    /** What it may pass on. */
+    /** The log that is forwarded to downstreams. */
     public RetainedLog log() {
         return log;
     }
 
-    /** How many nodes are subscribed to it. */
+    /** The number of subscribed downstreams. */
     public int downstreams() {
         return downstreams.size();
     }
 
-    /** The most that is on its way to any downstream, in bytes. */
+    /** The maximum number of bytes in flight to a single downstream. */
     public int maxInFlightBytes() {
         return downstreams.maxInFlightBytes();
     }
 
-    /** Bytes held for a change that is not whole yet. */
+    /** The bytes buffered for an incomplete change. */
     public int assemblerBytes() {
         return assembler.bytes();
     }
 
-    /** Bytes held of changes that came before those they follow. */
+    /** The bytes buffered for changes that arrived before their predecessors. */
     public int reorderBytes() {
         return reorder.bytes();
     }
 
-    /** The parent it has or asks for now; empty where there is no candidate. */
+    /**
+     * The current parent, whether or not it has accepted the subscription; empty if there are no
+     * candidates.
+     */
     public Optional<MemberId> parent() {
         return parentSelector.isEmpty() ? Optional.empty() : Optional.of(parentSelector.parent());
     }
 
-    /** New candidates, as members came or went. */
+    /** Replaces the candidate parents after members have joined or left. */
     public void candidates(List<MemberId> candidates, long time) {
         advance(time);
         parentSelector.replace(candidates, now);
@@ -129,7 +135,7 @@
         fireTimers(time);
     }
 
-    /** Handles a message. */
+    /** Handles a message from a candidate parent or a downstream. */
     public void handle(MemberId from, Message message, long time) {
         advance(time);
         if (message instanceof Message.Report report) {
@@ -142,8 +148,8 @@
             if (!parentSelector.isEmpty() && from.equals(parentSelector.parent())) {
                 parentSelector.handleRejection(now);
             }
-        } else if (message instanceof Message.KeepAlive beat) {
-            handleParentMessage(from, beat.heartbeat(), List.of());
+        } else if (message instanceof Message.KeepAlive keepAlive) {
+            handleParentMessage(from, keepAlive.heartbeat(), List.of());
         } else if (message instanceof Message.Changes changes) {
             handleParentMessage(from, changes.heartbeat(), changes.fragments());
         }
@@ -173,9 +179,9 @@
             return;
         }
         epoch = heartbeat.epoch();
-        MemberId before = parentSelector.parent();
+        MemberId previousParent = parentSelector.parent();
         if (parentSelector.handleHeartbeat(from, heartbeat, now)) {
-            host.send(before, new Message.Leave(epoch));
+            host.send(previousParent, new Message.Leave(epoch));
             reportAt = now;
         }
         if (from.equals(parentSelector.parent())) {
@@ -186,7 +192,7 @@
 
     private void handleFragment(Fragment fragment) {
         if (!fragment.position().isAfter(receivedUpTo)) {
-            // The parent repeats itself: it has not heard that this was received.
+            // A repeated fragment: the parent has not received the acknowledgement.
             scheduleReport(settings.reports().delay());
         } else if (fragment.position().epoch() > epoch) {
             return;
@@ -237,7 +243,10 @@
         reportAt = Math.min(reportAt, now + delay);
     }
 
-    /** Does what is due now. */
+    /**
+     * Sends the reports, changes and retransmissions that are due, removes silent downstreams and
+     * replaces a lost parent.
+     */
     public void fireTimers(long time) {
         advance(time);
         if (downstreams.dropSilent(now)) {
@@ -259,7 +268,7 @@
         }
     }
 
-    /** When {@link #fireTimers} is to be called next at the latest, by the caller's clock. */
+    /** The latest time, by the caller's clock, for the next call of {@link #fireTimers}. */
     public long nextTimer() {
         return clock.clockTimeAt(elapsedDue());
     }
@@ -295,11 +304,11 @@
     private void sendReports(MemberId to) {
         ProgressTable table = new ProgressTable();
         location.ifPresent(
-                place ->
+                member ->
                         table.add(
                                 new SiteProgress(
-                                        place.site(),
-                                        List.of(new SiteProgress.Step(inForce, place.bit())))));
+                                        member.site(),
+                                        List.of(new SiteProgress.Step(inForce, member.bit())))));
         downstreams.addProgress(table, now);
         List<Rejection> rejections = new ArrayList<>(rejected.values());
         rejections.addAll(downstreams.rejections());
--- a/src/main/java/cairnbridge/propagation/SubscriberHost.java
+++ b/src/main/java/cairnbridge/propagation/SubscriberHost.java
@@ -2,13 +2,14 @@
 
 import java.util.Optional;
 
-/** What a {@link Subscriber} asks to be done. */
+/** The output side of a {@link Subscriber}: sends messages and applies changes. */
 public interface SubscriberHost extends PropagationHost {
     /**
-     * Puts a change in force, or turns it down. Called once for each change at most, in order.
+     * Puts a change in force or rejects it. Called at most once for each change, in order of
+     * position.
      *
-     * @return empty where it is in force now; else why it was rejected, and what was in force
-     *     before must then still be
+     * @return empty if the change is in force now; otherwise the reason for rejecting it, in which
+     *     case the previous change must still be in force
      */
     Optional<String> apply(Change change);
 }
--- a/src/main/java/cairnbridge/propagation/simulated/PropagationNet.java
+++ b/src/main/java/cairnbridge/propagation/simulated/PropagationNet.java
@@ -17,17 +17,17 @@
 import java.util.random.RandomGeneratorFactory;
 
 /**
- * Members and control machines on a simulated network. The same seed and the same calls give the
- * same run. Times are ticks.
+ * Members and control machines on a simulated network. The same seed and the same calls produce the
+ * same run. Times are in ticks.
  *
- * <p>Every member checks what it is told to put into force: a change that is not newer than the one
- * in force, or that it has rejected before, is added to {@link #violations}.
+ * <p>Every node checks the changes it is asked to apply: a change that is not newer than the one in
+ * force, or that the node has rejected before, is added to {@link #violations}.
  */
 public final class PropagationNet {
     /** One second of simulated time. */
     public static final long SECOND = Ticks.SECOND;
 
-    /** How closely {@link #advanceUntilInForce} measures. */
+    /** The resolution of {@link #advanceUntilInForce}. */
     private static final long MEASURING_STEP = 10 * Ticks.MILLISECOND;
 
     final PropagationSettings settings;
@@ -42,22 +42,22 @@
     private final RelayTree tree;
     int largestMessage;
 
-    /** Broken invariants, in words. */
+    /** Descriptions of the invariants that were violated. */
     public final List<String> violations = new ArrayList<>();
 
-    /** Follows the run; null for none. */
+    /** Notified of applied changes and handled reports; null for none. */
     public PropagationObserver observer;
 
-    /** The share of messages that is lost, from 0 to 1. */
+    /** The probability that a message is lost, from 0 to 1. */
     public double loss;
 
-    /** The share of messages that is delivered twice, from 0 to 1. */
+    /** The probability that a message is delivered twice, from 0 to 1. */
     public double duplicated;
 
     /**
-     * A net whose nodes are all stopped.
+     * Creates a network whose nodes are all stopped.
      *
-     * @param direct whether all members subscribe to control machines, without relays
+     * @param direct whether all members subscribe directly to control machines, without relays
      */
     public PropagationNet(
             FleetLayout layout, PropagationSettings settings, boolean direct, long seed) {
@@ -66,17 +66,20 @@
         this.direct = direct;
         random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
         latency = new SimulatedLatency(random);
-        List<MemberLocation> placements = layout.locations();
-        tree = new RelayTree(layout.controlIds(), placements);
+        List<MemberLocation> locations = layout.locations();
+        tree = new RelayTree(layout.controlIds(), locations);
         for (MemberId id : layout.controlIds()) {
             String region = "r" + controls.size() % layout.regions();
             controls.add(add(new SimulatedNode(this, id, Optional.empty(), region)));
         }
-        for (MemberLocation place : placements) {
+        for (MemberLocation location : locations) {
             members.add(
                     add(
                             new SimulatedNode(
-                                    this, place.member(), Optional.of(place), place.region())));
+                                    this,
+                                    location.member(),
+                                    Optional.of(location),
+                                    location.region())));
         }
     }
 
@@ -85,7 +88,7 @@
         return node;
     }
 
-    /** The current simulated time. */
+    /** The current simulated time in ticks. */
     public long now() {
         return events.now();
     }
@@ -100,22 +103,22 @@
         return controls;
     }
 
-    /** The node of a name. */
+    /** Returns the node with an id, or null. */
     public SimulatedNode node(MemberId id) {
         return nodes.get(id);
     }
 
-    /** Who subscribes to whom. */
+    /** The tree that assigns candidate parents to members. */
     public RelayTree tree() {
         return tree;
     }
 
-    /** The largest message so far, with its frame. */
+    /** The size in bytes, including the frame, of the largest message sent so far. */
     public int largestMessage() {
         return largestMessage;
     }
 
-    /** Whom a node may subscribe to, best first. */
+    /** The candidate parents of a node, the preferred one first. */
     List<MemberId> candidates(SimulatedNode node) {
         if (!node.isMember()) {
             return layout.controlIds().stream().filter(id -> !id.equals(node.id)).toList();
@@ -130,78 +133,84 @@
         startPublisher(controls.get(0), 1);
     }
 
-    /** Starts a node again, with the change that was in force last. */
+    /** Starts or restarts a node with the change it last had in force. */
     public void start(SimulatedNode node) {
         node.start();
     }
 
-    /** Starts a node again that has lost what was in force. */
+    /** Restarts a node that has lost the change it had in force. */
     public void startEmpty(SimulatedNode node) {
         node.startEmpty();
     }
 
-    /** Makes a control machine the publisher, continuing the log it has received. */
+    /** Makes a control machine the publisher; it continues the log it has received. */
     public void startPublisher(SimulatedNode node, long epoch) {
         startPublisher(node, epoch, node.subscriber().log());
     }
 
-    /** Makes a control machine the publisher, continuing any log. */
+    /** Makes a control machine the publisher; it continues the given log. */
     public void startPublisher(SimulatedNode node, long epoch, RetainedLog log) {
         List<MemberLocation> all = members.stream().map(member -> member.location.get()).toList();
         node.startPublisher(epoch, log, all);
     }
 
-    /** Has a publisher publish a change. */
+    /** Publishes a change from a node that is the publisher; returns its position. */
     public Position publish(SimulatedNode node, byte[] body, boolean superseding) {
         return node.publish(body, superseding);
     }
 
-    /** Ends a node's process. */
+    /** Ends a node's process without any notice to other nodes. */
     public void crash(SimulatedNode node) {
         node.crash();
     }
 
-    /** Stops a node's process; messages are buffered until it goes on. */
+    /** Suspends a node's process; messages are buffered until it is thawed. */
     public void freeze(SimulatedNode node) {
         node.freeze();
     }
 
-    /** Lets a frozen node go on. */
+    /** Resumes a frozen node, which then handles its buffered messages. */
     public void thaw(SimulatedNode node) {
         node.thaw();
     }
 
-    /** Puts a node on one side of a partition; all begin on side 0 and hear only their side. */
+    /**
+     * Moves a node to one side of a partition. All nodes start on side 0; messages between
+     * different sides are lost.
+     */
     public void setPartition(SimulatedNode node, int side) {
         node.setPartition(side);
     }
 
-    /** Moves a node's clock. */
+    /** Shifts a node's clock by a number of ticks, which may be negative. */
     public void shiftClock(SimulatedNode node, long by) {
         node.shiftClock(by);
     }
 
-    /** Lets simulated time pass. */
+    /** Runs the simulation for a time span. */
     public void advance(long span) {
         events.runUntil(events.now() + span);
     }
 
-    /** Schedules an action. */
-    public void schedule(long span, Runnable what) {
-        events.schedule(span, what);
+    /** Schedules an action to run after a time span. */
+    public void schedule(long span, Runnable action) {
+        events.schedule(span, action);
     }
 
-    /** The members that run and are not frozen. */
+    /** The members that are running and not frozen. */
     public List<SimulatedNode> runningMembers() {
         return members.stream().filter(node -> node.isRunning() && !node.isFrozen()).toList();
     }
 
-    /** Running members that have neither a change nor a later one in force. */
+    /** The running members that have neither this change nor a later one in force. */
     public List<SimulatedNode> membersWithout(Position position) {
         return runningMembers().stream().filter(node -> position.isAfter(node.inForce())).toList();
     }
 
-    /** Lets time pass until all running members have a change in force; the time taken, or -1. */
+    /**
+     * Runs the simulation until all running members have a change in force; returns the time taken,
+     * or -1 if the limit is reached first.
+     */
     public long advanceUntilInForce(Position position, long limit) {
         long start = events.now();
         while (!membersWithout(position).isEmpty()) {
--- a/src/main/java/cairnbridge/propagation/simulated/PropagationObserver.java
+++ b/src/main/java/cairnbridge/propagation/simulated/PropagationObserver.java
@@ -2,11 +2,11 @@
 
 import cairnbridge.propagation.Position;
 
-/** Follows what happens in a simulated net. */
+/** Observes applied changes and handled reports in a simulated network. */
 public interface PropagationObserver {
-    /** A member has put a change in force. */
+    /** Called after a member has put a change in force. */
     void onApplied(SimulatedNode member, Position before, Position after);
 
-    /** A publisher has handled a report. */
+    /** Called after a publisher has handled a report. */
     void onReported(SimulatedNode publisher);
 }
--- a/src/main/java/cairnbridge/propagation/simulated/PropagationRuns.java
+++ b/src/main/java/cairnbridge/propagation/simulated/PropagationRuns.java
@@ -10,7 +10,10 @@
 import java.util.List;
 import java.util.function.ToLongFunction;
 
-/** Measures how fast changes come into force at all members, and at what cost. */
+/**
+ * Measures how long changes take to come into force at all members, and how much traffic that
+ * takes.
+ */
 public final class PropagationRuns implements PropagationObserver {
     private static final long SECOND = PropagationNet.SECOND;
     private static final long SETTLE = 10 * SECOND;
@@ -19,14 +22,14 @@
     private static final long FINAL_WAIT = 30 * SECOND;
 
     /**
-     * What is to be measured.
+     * The fleet, the settings and the changes of one run.
      *
-     * @param direct without relays
-     * @param loss part of messages lost
-     * @param killRelay whether a relay is killed with each change under way
-     * @param bodyBytes of each change
-     * @param superseding whether each change replaces those before it
-     * @param every a change is published this often
+     * @param direct whether members subscribe directly to control machines, without relays
+     * @param loss the probability that a message is lost
+     * @param killRelay whether a relay is killed while each change propagates
+     * @param bodyBytes the size of the body of each change
+     * @param superseding whether each change replaces all earlier ones
+     * @param every the interval between changes, in ticks
      */
     public record Plan(
             FleetLayout layout,
@@ -40,7 +43,7 @@
             long every,
             long seed) {}
 
-    /** Spans in seconds; of those that came to an end. */
+    /** Percentiles, in seconds, of the spans that completed, and the number that never did. */
     public record Spans(double median, double ninetyNine, double worst, int never) {
         static Spans of(List<Long> spans, int expected) {
             List<Long> sorted = spans.stream().sorted().toList();
@@ -51,29 +54,33 @@
                     expected - spans.size());
         }
 
-        private static double percentile(List<Long> sorted, double part) {
+        private static double percentile(List<Long> sorted, double fraction) {
             if (sorted.isEmpty()) {
                 return Double.NaN;
             }
-            int index = (int) Math.ceil(part * sorted.size()) - 1;
+            int index = (int) Math.ceil(fraction * sorted.size()) - 1;
             return sorted.get(Math.max(0, index)) / (double) SECOND;
         }
     }
 
-    /** Bytes and messages a second: the mean of some processes, and the most that one has. */
+    /**
+     * Bytes and messages per second of a group of processes: the mean, and for bytes also the
+     * maximum of one process.
+     */
     public record Traffic(
             double sent, double mostSent, double received, double mostReceived, double messages) {}
 
     /**
-     * What was measured.
+     * The measurements of one run.
      *
-     * @param inForce from publishing until all living members have it in force
-     * @param known until the publisher knows that
-     * @param quietMembers while nothing changes
-     * @param members while changes are published
-     * @param controls while changes are published
-     * @param mostChildren of any process at the end
-     * @param violations what must not happen but did
+     * @param inForce the time from publishing a change until all running members have it in force
+     * @param known the time from publishing a change until the publisher knows that all running
+     *     members have it in force
+     * @param quietMembers traffic of the members while no changes are published
+     * @param members traffic of the members while changes are published
+     * @param controls traffic of the control machines while changes are published
+     * @param mostChildren the maximum number of downstreams of any process at the end
+     * @param violations the number of violated invariants
      */
     public record Result(
             Spans inForce,
@@ -90,7 +97,7 @@
 
     private final Plan plan;
     private final PropagationNet net;
-    private final SimulatedNode source;
+    private final SimulatedNode publisherNode;
     private final Deque<PendingChange> awaitingInForce = new ArrayDeque<>();
     private final Deque<PendingChange> awaitingConfirmation = new ArrayDeque<>();
     private final List<Long> inForceDelays = new ArrayList<>();
@@ -100,11 +107,11 @@
     private PropagationRuns(Plan plan) {
         this.plan = plan;
         net = new PropagationNet(plan.layout, plan.settings, plan.direct, plan.seed);
-        source = net.controls().get(0);
+        publisherNode = net.controls().get(0);
         net.observer = this;
     }
 
-    /** Runs a plan. */
+    /** Runs a plan on a new simulated network. */
     public static Result run(Plan plan) {
         return new PropagationRuns(plan).run();
     }
@@ -147,22 +154,25 @@
     }
 
     private void publish() {
-        Position position = net.publish(source, new byte[plan.bodyBytes], plan.superseding);
-        PendingChange open = new PendingChange(position, net.now());
-        awaitingInForce.add(open);
-        awaitingConfirmation.add(open);
+        Position position = net.publish(publisherNode, new byte[plan.bodyBytes], plan.superseding);
+        PendingChange pending = new PendingChange(position, net.now());
+        awaitingInForce.add(pending);
+        awaitingConfirmation.add(pending);
         applied = 0;
     }
 
-    /** In turn a relay of a region and one of a site: the member there that has most children. */
+    /**
+     * Kills alternately a region relay and a site relay: the member there with the most
+     * downstreams.
+     */
     private void killRelay(int number) {
         int regions = plan.layout.regions();
         int sites = plan.layout.sites();
         boolean isRegion = number % 2 == 0;
-        String place = isRegion ? "r" + number / 2 % regions : "s" + number / 2 % sites;
+        String regionOrSite = isRegion ? "r" + number / 2 % regions : "s" + number / 2 % sites;
         SimulatedNode victim =
                 net.runningMembers().stream()
-                        .filter(node -> isAt(node, place))
+                        .filter(node -> isAt(node, regionOrSite))
                         .max(Comparator.comparingInt(SimulatedNode::downstreams))
                         .orElseThrow();
         net.crash(victim);
@@ -170,15 +180,15 @@
         net.schedule(RESTART_DELAY, () -> net.start(victim));
     }
 
-    private static boolean isAt(SimulatedNode node, String place) {
-        return node.location.get().region().equals(place)
-                || node.location.get().site().equals(place);
+    private static boolean isAt(SimulatedNode node, String regionOrSite) {
+        return node.location.get().region().equals(regionOrSite)
+                || node.location.get().site().equals(regionOrSite);
     }
 
     @Override
     public void onApplied(SimulatedNode node, Position before, Position after) {
         applied++;
-        // Looking at all members is dear, and in vain until most have applied something.
+        // Checking all members is expensive, and cannot succeed until most have applied a change.
         if (plan.killRelay || applied >= plan.layout.members() || awaitingInForce.size() > 1) {
             checkInForceOf(node);
         }
@@ -213,13 +223,16 @@
         }
     }
 
-    /** Those that do not run are excepted, as whoever assigns relays would except them. */
+    /**
+     * Members that are not running are not counted, because the assignment of relays would exclude
+     * them as well.
+     */
     private boolean isKnown(Position position) {
-        if (source.publisher() == null) {
+        if (publisherNode.publisher() == null) {
             return false;
         }
         int living = net.runningMembers().size();
-        return source.publisher().coverage(position).inForce() >= living;
+        return publisherNode.publisher().coverage(position).inForce() >= living;
     }
 
     private static List<TrafficCounters> readCounters(List<SimulatedNode> nodes) {
@@ -233,32 +246,35 @@
                 .toList();
     }
 
-    private static Traffic traffic(List<SimulatedNode> nodes, List<TrafficCounters> before, long span) {
-        List<TrafficCounters> spent = new ArrayList<>();
+    private static Traffic traffic(
+            List<SimulatedNode> nodes, List<TrafficCounters> before, long span) {
+        List<TrafficCounters> differences = new ArrayList<>();
         List<TrafficCounters> after = readCounters(nodes);
         for (int i = 0; i < nodes.size(); i++) {
-            TrafficCounters now = after.get(i);
-            TrafficCounters then = before.get(i);
-            spent.add(
+            TrafficCounters end = after.get(i);
+            TrafficCounters start = before.get(i);
+            differences.add(
                     new TrafficCounters(
-                            now.sent - then.sent,
-                            now.received - then.received,
-                            now.messages - then.messages));
+                            end.sent - start.sent,
+                            end.received - start.received,
+                            end.messages - start.messages));
         }
         double seconds = span / (double) SECOND;
         return new Traffic(
-                mean(spent, TrafficCounters::sent) / seconds,
-                max(spent, TrafficCounters::sent) / seconds,
-                mean(spent, TrafficCounters::received) / seconds,
-                max(spent, TrafficCounters::received) / seconds,
-                mean(spent, TrafficCounters::messages) / seconds);
+                mean(differences, TrafficCounters::sent) / seconds,
+                max(differences, TrafficCounters::sent) / seconds,
+                mean(differences, TrafficCounters::received) / seconds,
+                max(differences, TrafficCounters::received) / seconds,
+                mean(differences, TrafficCounters::messages) / seconds);
     }
 
-    private static double mean(List<TrafficCounters> counted, ToLongFunction<TrafficCounters> of) {
-        return counted.stream().mapToLong(of).average().orElse(0);
+    private static double mean(
+            List<TrafficCounters> counted, ToLongFunction<TrafficCounters> counter) {
+        return counted.stream().mapToLong(counter).average().orElse(0);
     }
 
-    private static double max(List<TrafficCounters> counted, ToLongFunction<TrafficCounters> of) {
-        return counted.stream().mapToLong(of).max().orElse(0);
+    private static double max(
+            List<TrafficCounters> counted, ToLongFunction<TrafficCounters> counter) {
+        return counted.stream().mapToLong(counter).max().orElse(0);
     }
 }
--- a/src/main/java/cairnbridge/propagation/simulated/SimulatedLatency.java
+++ b/src/main/java/cairnbridge/propagation/simulated/SimulatedLatency.java
@@ -6,7 +6,7 @@
 
 /** The one-way latency between simulated nodes, in ticks. */
 final class SimulatedLatency {
-    /** A latency is at least so much and varies by so much. */
+    /** A minimum latency and the width of its uniform variation, in ticks. */
     private record Range(int least, int spread) {}
 
     private static final Range WITHIN_SITE = new Range(1, 4);
@@ -21,7 +21,7 @@
         this.random = random;
     }
 
-    /** The latency of one message. */
+    /** Draws the latency of one message. */
     long draw(SimulatedNode from, SimulatedNode to) {
         if (from.isAtSiteOf(to)) {
             return draw(WITHIN_SITE);
--- a/src/main/java/cairnbridge/propagation/simulated/SimulatedNode.java
+++ b/src/main/java/cairnbridge/propagation/simulated/SimulatedNode.java
@@ -19,15 +19,15 @@
 
 /** A simulated process of a {@link PropagationNet}: a member or a control machine. */
 public final class SimulatedNode implements SubscriberHost {
-    /** What the buffer of a socket holds while its process is frozen. */
+    /** The number of messages a socket buffer holds while the process is frozen. */
     private static final int BUFFERED_MESSAGES = 4_000;
 
     private final PropagationNet net;
 
-    /** Its name. */
+    /** The unique id of this node. */
     public final MemberId id;
 
-    /** Where a member stands; empty at a control machine. */
+    /** The region and site of a member; empty at a control machine. */
     public final Optional<MemberLocation> location;
 
     private final String region;
@@ -46,68 +46,68 @@
     private long bytesReceived;
     private long messagesSent;
 
-    /** Why it rejects a change; by default it does not. */
+    /** Returns why the node rejects a change, or empty to accept it; accepts all by default. */
     public Function<Change, Optional<String>> rejectionReason = change -> Optional.empty();
 
     SimulatedNode(
-            PropagationNet net, MemberId id, Optional<MemberLocation> placement, String region) {
+            PropagationNet net, MemberId id, Optional<MemberLocation> location, String region) {
         this.net = net;
         this.id = id;
-        this.location = placement;
+        this.location = location;
         this.region = region;
     }
 
-    /** Whether its process exists. */
+    /** Whether the process exists, even if it is frozen. */
     public boolean isRunning() {
         return running;
     }
 
-    /** Whether its process is stopped and may go on later. */
+    /** Whether the process is suspended and can be resumed. */
     public boolean isFrozen() {
         return frozen;
     }
 
-    /** Whether it is a member, not a control machine. */
+    /** Whether this node is a member and not a control machine. */
     public boolean isMember() {
         return location.isPresent();
     }
 
-    /** Its subscriber; null at a publisher. */
+    /** The subscriber of this node; null while it is the publisher. */
     public Subscriber subscriber() {
         return subscriber;
     }
 
-    /** Its publisher; null at all other nodes. */
+    /** The publisher of this node; null unless it is the publisher. */
     public Publisher publisher() {
         return publisher;
     }
 
-    /** What it has in force, or had when it ended. */
+    /** The position of the change in force, or last in force if the process has ended. */
     public Position inForce() {
         return latest.map(Change::position).orElse(Position.NONE);
     }
 
-    /** The body of what it has in force. */
+    /** The body of the change in force. */
     public Optional<byte[]> body() {
         return latest.map(Change::body);
     }
 
-    /** Bytes of all messages it has sent. */
+    /** The total size of all messages sent, including lost ones. */
     public long bytesSent() {
         return bytesSent;
     }
 
-    /** Bytes of all messages it has handled. */
+    /** The total size of all messages handled. */
     public long bytesReceived() {
         return bytesReceived;
     }
 
-    /** Number of messages it has sent. */
+    /** The number of messages sent, including lost ones. */
     public long messagesSent() {
         return messagesSent;
     }
 
-    /** How many nodes are subscribed to it. */
+    /** The number of subscribed downstreams. */
     public int downstreams() {
         return publisher != null ? publisher.downstreams() : subscriber.downstreams();
     }
@@ -122,7 +122,7 @@
                 && location.get().site().equals(other.location.get().site());
     }
 
-    /** Starts a process again, with the change that was in force last. */
+    /** Starts or restarts the process with the change last in force. */
     void start() {
         running = true;
         frozen = false;
@@ -135,13 +135,13 @@
         startTimer();
     }
 
-    /** Starts a process again that has lost what was in force. */
+    /** Restarts the process after it has lost the change in force. */
     void startEmpty() {
         latest = Optional.empty();
         start();
     }
 
-    /** Becomes the publisher of an epoch, continuing a log. */
+    /** Becomes the publisher of an epoch and continues the given log. */
     void startPublisher(long epoch, RetainedLog log, List<MemberLocation> members) {
         publisher =
                 new Publisher(
@@ -150,37 +150,37 @@
         startTimer();
     }
 
-    /** Publishes a change. */
+    /** Publishes a change; this node must be the publisher. */
     Position publish(byte[] body, boolean superseding) {
         Position position = publisher.publish(body, superseding, clock());
         startTimer();
         return position;
     }
 
-    /** Ends the process. */
+    /** Ends the process without any notice to other nodes. */
     void crash() {
         running = false;
     }
 
-    /** Stops the process; messages are buffered until it goes on. */
+    /** Suspends the process; messages are buffered until it is thawed. */
     void freeze() {
         frozen = true;
     }
 
-    /** Lets the process go on. */
+    /** Resumes the process, which then handles its buffered messages. */
     void thaw() {
         frozen = false;
-        List<Runnable> waiting = new ArrayList<>(buffered);
+        List<Runnable> resumed = new ArrayList<>(buffered);
         buffered.clear();
-        waiting.forEach(each -> net.events.schedule(0, each));
+        resumed.forEach(each -> net.events.schedule(0, each));
     }
 
-    /** Puts the node on one side of a partition. */
+    /** Moves the node to one side of a partition. */
     void setPartition(int newPartition) {
         partition = newPartition;
     }
 
-    /** Moves its clock. */
+    /** Shifts the node's clock by a number of ticks, which may be negative. */
     void shiftClock(long by) {
         clockOffset += by;
     }
@@ -228,7 +228,7 @@
         startTimer();
     }
 
-    /** A publisher that was superseded subscribes to the one that superseded it. */
+    /** Turns a publisher that is fenced or behind back into a subscriber. */
     private void stepDownIfSuperseded() {
         if (publisher != null && publisher.state() != Publisher.State.ACTIVE) {
             publisher = null;
@@ -253,10 +253,13 @@
     public Optional<String> apply(Change change) {
         Position before = inForce();
         if (!change.position().isAfter(before)) {
-            net.violations.add(id + " was to go from " + before + " to " + change.position());
+            net.violations.add(id + " was asked to go from " + before + " to " + change.position());
         }
         if (rejected.contains(change.position())) {
-            net.violations.add(id + " was asked twice in one generation for " + change.position());
+            net.violations.add(
+                    id
+                            + " was asked again in the same generation to apply rejected "
+                            + change.position());
         }
         Optional<String> reason = rejectionReason.apply(change);
         if (reason.isPresent()) {
@@ -274,23 +277,27 @@
         if (subscriber == null) {
             return;
         }
-        int onTheWay = subscriber.maxInFlightBytes();
-        check(onTheWay <= net.settings.flow().windowBytes(), "has on the way " + onTheWay);
+        int inFlightBytes = subscriber.maxInFlightBytes();
+        check(
+                inFlightBytes <= net.settings.flow().windowBytes(),
+                "has too many bytes in flight: " + inFlightBytes);
         check(
                 subscriber.log().size() <= net.settings.limits().logChanges(),
-                "keeps too many changes");
+                "retains too many changes");
         check(
                 subscriber.downstreams() <= net.settings.limits().downstreams(),
-                "has too many children");
-        check(subscriber.reorderBytes() <= net.settings.flow().windowBytes(), "reorders too much");
+                "has too many downstreams");
+        check(
+                subscriber.reorderBytes() <= net.settings.flow().windowBytes(),
+                "buffers too many bytes for reordering");
         check(
                 subscriber.assemblerBytes() <= net.settings.limits().changeBytes(),
-                "assembles too much");
+                "buffers too many bytes of fragments");
     }
 
-    private void check(boolean holds, String what) {
-        if (!holds) {
-            net.violations.add(id + " " + what);
+    private void check(boolean isWithinLimit, String violation) {
+        if (!isWithinLimit) {
+            net.violations.add(id + " " + violation);
         }
     }
 
@@ -306,13 +313,13 @@
         long at = Math.max(net.events.now(), due - clockOffset);
         if (at < timerAt) {
             timerAt = at;
-            long startedAs = generation;
-            net.events.schedule(at - net.events.now(), () -> handleTimer(startedAs, at));
+            long scheduledGeneration = generation;
+            net.events.schedule(at - net.events.now(), () -> handleTimer(scheduledGeneration, at));
         }
     }
 
-    private void handleTimer(long startedAs, long at) {
-        if (!running || startedAs != generation || at != timerAt) {
+    private void handleTimer(long scheduledGeneration, long at) {
+        if (!running || scheduledGeneration != generation || at != timerAt) {
             return;
         }
         timerAt = Long.MAX_VALUE;
--- a/src/main/java/cairnbridge/propagation/simulated/package-info.java
+++ b/src/main/java/cairnbridge/propagation/simulated/package-info.java
@@ -1,2 +1,2 @@
-/** Propagation's state machines on a net that is only computed, for tests and measurements. */
+/** Runs the propagation state machines on a simulated network, for tests and measurements. */
 package cairnbridge.propagation.simulated;
--- a/src/test/java/cairnbridge/propagation/PropagationRunsTest.java
+++ b/src/test/java/cairnbridge/propagation/PropagationRunsTest.java
@@ -10,7 +10,7 @@
 import cairnbridge.time.Ticks;
 import org.junit.jupiter.api.Test;
 
-/** The measurements, on a small fleet and simulated time. */
+/** Checks the measurements on a small fleet in simulated time. */
 class PropagationRunsTest {
     private static final long SECOND = Ticks.SECOND;
     private static final FleetLayout LAYOUT = new FleetLayout(120, 12, 3, 3);
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void configurationsAreInForceAndKnownInTime() {
+    void configurationsComeIntoForceAndAreConfirmedInTime() {
         Result result = PropagationRuns.run(configurations(false, 0, false, 1));
         assertComplete(result);
         assertTrue(result.inForce().worst() <= 3);
@@ -59,14 +59,14 @@
     }
 
     @Test
-    void allChangesArriveWithLossAndARelayKilledUnderEach() {
+    void allChangesArriveDespiteLossAndARelayKilledDuringEach() {
         for (long seed = 1; seed <= 3; seed++) {
             assertComplete(PropagationRuns.run(configurations(false, 0.05, true, seed)));
         }
     }
 
     @Test
-    void purgesAreDoneInTimeAndMembersStayWithinTheirBudget() {
+    void purgesComeIntoForceInTimeWithinTheTrafficBudget() {
         Result result = PropagationRuns.run(purges(false));
         assertComplete(result);
         assertTrue(result.inForce().worst() <= 5.5);
--- a/src/test/java/cairnbridge/propagation/RelayTreeTest.java
+++ b/src/test/java/cairnbridge/propagation/RelayTreeTest.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Who may ask whom. */
+/** Checks the candidate parents that the relay tree assigns. */
 class RelayTreeTest {
     private static final int MEMBERS = 1_800;
     private static final int SITES = 140;
@@ -30,37 +30,37 @@
     }
 
     @Test
-    void aMemberNeedsToKnowFewOthers() {
+    void aMemberHasFewCandidateParents() {
         RelayTree tree = new RelayTree(CONTROLS, fleet());
-        int most = 2 * RelayTree.CANDIDATES + CONTROLS.size();
-        for (MemberLocation place : fleet()) {
-            List<MemberId> parents = tree.parentsOf(place.member());
-            assertTrue(parents.size() <= most && parents.containsAll(CONTROLS));
-            assertFalse(parents.contains(place.member()));
+        int maxCandidates = 2 * RelayTree.CANDIDATES + CONTROLS.size();
+        for (MemberLocation location : fleet()) {
+            List<MemberId> parents = tree.parentsOf(location.member());
+            assertTrue(parents.size() <= maxCandidates && parents.containsAll(CONTROLS));
+            assertFalse(parents.contains(location.member()));
         }
     }
 
     @Test
-    void nobodyCanComeToFollowItself() {
+    void candidateParentsFormNoCycle() {
         RelayTree tree = new RelayTree(CONTROLS, fleet());
-        Set<MemberId> free = new HashSet<>(CONTROLS);
-        List<MemberId> left =
+        Set<MemberId> removed = new HashSet<>(CONTROLS);
+        List<MemberId> remaining =
                 new ArrayList<>(fleet().stream().map(MemberLocation::member).toList());
-        while (left.removeIf(
-                member -> free.containsAll(tree.parentsOf(member)) && free.add(member))) {
-            // Each round frees those all of whose candidates are free.
+        while (remaining.removeIf(
+                member -> removed.containsAll(tree.parentsOf(member)) && removed.add(member))) {
+            // Each round removes the members whose candidates have all been removed.
         }
-        assertEquals(List.of(), left);
+        assertEquals(List.of(), remaining);
     }
 
     @Test
-    void relaysOfARegionStandAtDifferentSites() {
+    void relaysOfARegionAreAtDifferentSites() {
         RelayTree tree = new RelayTree(CONTROLS, fleet());
         for (int i = 0; i < REGIONS; i++) {
             List<MemberId> relays = tree.relaysOfRegion("r" + i);
             long sites =
                     fleet().stream()
-                            .filter(place -> relays.contains(place.member()))
+                            .filter(location -> relays.contains(location.member()))
                             .map(MemberLocation::site)
                             .distinct()
                             .count();
@@ -69,16 +69,17 @@
     }
 
     @Test
-    void oneThatGoesMovesOnlyThoseWhoCouldAskIt() {
+    void aDepartedRelayAffectsOnlyItsPossibleDownstreams() {
         RelayTree before = new RelayTree(CONTROLS, fleet());
-        MemberId gone = before.relaysOfSite("s9").get(0);
-        List<MemberLocation> fewer =
-                fleet().stream().filter(place -> !place.member().equals(gone)).toList();
-        RelayTree after = new RelayTree(CONTROLS, fewer);
-        for (MemberLocation place : fewer) {
-            if (!before.parentsOf(place.member()).contains(gone)
-                    && !after.relaysOfSite("s9").contains(place.member())) {
-                assertEquals(before.parentsOf(place.member()), after.parentsOf(place.member()));
+        MemberId departed = before.relaysOfSite("s9").get(0);
+        List<MemberLocation> remainingMembers =
+                fleet().stream().filter(location -> !location.member().equals(departed)).toList();
+        RelayTree after = new RelayTree(CONTROLS, remainingMembers);
+        for (MemberLocation location : remainingMembers) {
+            if (!before.parentsOf(location.member()).contains(departed)
+                    && !after.relaysOfSite("s9").contains(location.member())) {
+                assertEquals(
+                        before.parentsOf(location.member()), after.parentsOf(location.member()));
             }
         }
     }
