--- a/src/main/java/cairnbridge/propagation/Downstreams.java
+++ b/src/main/java/cairnbridge/propagation/Downstreams.java
@@ -24,7 +24,9 @@
     /** Downstreams to serve in the next call of {@link #serve}, whether or not a timer is due. */
     private final Set<Downstream> ready = new LinkedHashSet<>();
 
-    /** The earliest timer of all downstreams; a new change in the log is served earlier. */
+    /**
+     * The earliest due time of any downstream timer; a new change in the log is served before it.
+     */
     private long due = Long.MAX_VALUE;
 
     private Position servedPosition = Position.NONE;
@@ -98,8 +100,9 @@
     }
 
     /**
-     * Sends changes and heartbeats to the downstreams that are ready or have a timer due.
-     * Retransmissions are sent in either case.
+     * Serves the downstreams that are ready, or all of them if a timer is due or the log has grown:
+     * retransmits lost changes, sends new changes if forwarding is allowed, and sends due
+     * heartbeats.
      */
     void serve(Message.Heartbeat heartbeat, boolean canForward, long now) {
         boolean isUpToDate = canForward == servedForwarding && servedPosition.equals(log.last());
--- a/src/main/java/cairnbridge/propagation/Message.java
+++ b/src/main/java/cairnbridge/propagation/Message.java
@@ -40,7 +40,7 @@
 
     /** A parent forwards changes to a downstream. */
     record Changes(Heartbeat heartbeat, List<Fragment> fragments) implements Message {
-        /** Copies the list. */
+        /** Makes an immutable copy of the list. */
         public Changes {
             fragments = List.copyOf(fragments);
         }
@@ -85,7 +85,7 @@
             implements Message {
         static final int HEADER_BYTES = 30;
 
-        /** Copies the lists. */
+        /** Makes immutable copies of the lists. */
         public Report {
             sites = List.copyOf(sites);
             rejections = List.copyOf(rejections);
@@ -110,7 +110,7 @@
 
     /** A parent refuses a subscription; the downstream must try another candidate. */
     record SubscriptionRejected(long epoch, Reason reason) implements Message {
-        /** The reason of the refusal. */
+        /** Why the parent refuses the subscription. */
         public enum Reason {
             /** The parent has reached its limit of downstreams. */
             FULL,
--- a/src/main/java/cairnbridge/propagation/RetainedLog.java
+++ b/src/main/java/cairnbridge/propagation/RetainedLog.java
@@ -21,8 +21,8 @@
     }
 
     /**
-     * Creates a log whose only entry, if any, is the change a subscriber had in force before a
-     * restart.
+     * Creates a log that contains only the change a subscriber had in force before a restart, if
+     * any; of the changes before it, only the position is known.
      */
     static RetainedLog startingWith(PropagationSettings settings, Optional<Change> latest) {
         RetainedLog log = new RetainedLog(settings);
--- a/src/main/java/cairnbridge/propagation/simulated/PropagationNet.java
+++ b/src/main/java/cairnbridge/propagation/simulated/PropagationNet.java
@@ -93,12 +93,12 @@
         return events.now();
     }
 
-    /** All members. */
+    /** All members, whether running or not. */
     public List<SimulatedNode> members() {
         return members;
     }
 
-    /** All control machines. */
+    /** All control machines, whether running or not. */
     public List<SimulatedNode> controls() {
         return controls;
     }
--- a/src/main/java/cairnbridge/propagation/simulated/PropagationRuns.java
+++ b/src/main/java/cairnbridge/propagation/simulated/PropagationRuns.java
@@ -102,7 +102,7 @@
     private final Deque<PendingChange> awaitingConfirmation = new ArrayDeque<>();
     private final List<Long> inForceDelays = new ArrayList<>();
     private final List<Long> confirmationDelays = new ArrayList<>();
-    private int applied;
+    private int appliedCount;
 
     private PropagationRuns(Plan plan) {
         this.plan = plan;
@@ -158,7 +158,7 @@
         PendingChange pending = new PendingChange(position, net.now());
         awaitingInForce.add(pending);
         awaitingConfirmation.add(pending);
-        applied = 0;
+        appliedCount = 0;
     }
 
     /**
@@ -187,9 +187,9 @@
 
     @Override
     public void onApplied(SimulatedNode node, Position before, Position after) {
-        applied++;
+        appliedCount++;
         // Checking all members is expensive, and cannot succeed until most have applied a change.
-        if (plan.killRelay || applied >= plan.layout.members() || awaitingInForce.size() > 1) {
+        if (plan.killRelay || appliedCount >= plan.layout.members() || awaitingInForce.size() > 1) {
             checkInForceOf(node);
         }
     }
