--- a/src/main/java/cairnbridge/propagation/Downstreams.java
+++ b/src/main/java/cairnbridge/propagation/Downstreams.java
@@ -10,24 +10,27 @@
 import java.util.Set;
 
 /**
- * Passes a log on to those who subscribed. For each downstream there is a cursor into the log
- * rather than a queue, so that one that is slow or stopped delays no other and costs no memory.
+ * Forwards a log to the subscribed downstreams. Each downstream has a cursor into the log rather
+ * than a queue, so that a slow or stopped downstream neither delays the others nor uses extra
+ * memory.
  */
 final class Downstreams {
     private final PropagationSettings settings;
     private final RetainedLog log;
     private final PropagationHost host;
     private final Map<MemberId, Downstream> downstreams = new LinkedHashMap<>();
-    private long rejectedAsTooShort;
+    private long logTooShortRejections;
 
-    /** Downstreams to be served at once, besides those whose timer is due. */
+    /** Downstreams to serve in the next call of {@link #serve}, whether or not a timer is due. */
     private final Set<Downstream> ready = new LinkedHashSet<>();
 
-    /** No downstream has to be served before, unless something new is to be passed on. */
+    /**
+     * The earliest due time of any downstream timer; a new change in the log is served before it.
+     */
     private long due = Long.MAX_VALUE;
 
-    private Position servedUpTo = Position.NONE;
-    private boolean servedPassOn;
+    private Position servedPosition = Position.NONE;
+    private boolean servedForwarding;
 
     Downstreams(PropagationSettings settings, RetainedLog log, PropagationHost host) {
         this.settings = settings;
@@ -39,17 +42,20 @@
         return downstreams.size();
     }
 
-    /** How often a downstream lacked changes that the log no longer has. */
-    long rejectedAsTooShort() {
-        return rejectedAsTooShort;
+    /** How many subscriptions were rejected because the log no longer has the changes needed. */
+    long logTooShortRejections() {
+        return logTooShortRejections;
     }
 
-    /** The most that is on its way to any downstream. */
+    /** The maximum number of bytes in flight to a single downstream. */
     int maxInFlightBytes() {
         return downstreams.values().stream().mapToInt(Downstream::inFlightBytes).max().orElse(0);
     }
 
-    /** Handles a report, which subscribes its sender; whether anything in it is new. */
+    /**
+     * Handles a report, which also subscribes its sender; returns whether it changes the progress
+     * or rejections to report upwards.
+     */
     boolean handleReport(
             MemberId from, Message.Report report, Message.Heartbeat heartbeat, long now) {
         Downstream downstream = downstreams.get(from);
@@ -61,15 +67,15 @@
             downstream = new Downstream(from, settings, now);
             downstreams.put(from, downstream);
         }
-        boolean news = downstream.handleReport(report, now);
+        boolean changed = downstream.handleReport(report, now);
         ready.add(downstream);
         if (log.isTooShortFor(downstream.acknowledged())) {
-            rejectedAsTooShort++;
+            logTooShortRejections++;
             remove(from);
             reject(from, Message.SubscriptionRejected.Reason.LOG_TOO_SHORT, heartbeat);
             return true;
         }
-        return news;
+        return changed;
     }
 
     private void reject(
@@ -77,14 +83,14 @@
         host.send(to, new Message.SubscriptionRejected(heartbeat.epoch(), reason));
     }
 
-    /** Whether it was one. */
+    /** Removes a downstream; returns whether it was subscribed. */
     boolean remove(MemberId id) {
         Downstream removed = downstreams.remove(id);
         ready.remove(removed);
         return removed != null;
     }
 
-    /** Drops those silent for too long; whether there were any. */
+    /** Removes downstreams that exceeded the downstream timeout; returns whether there were any. */
     boolean dropSilent(long now) {
         if (now < due) {
             return false;
@@ -93,33 +99,37 @@
         return downstreams.values().removeIf(downstream -> now >= downstream.dropDue());
     }
 
-    /** Sends those downstreams whose time has come what they may get now, or a heartbeat. */
-    void serve(Message.Heartbeat heartbeat, boolean passOn, long now) {
-        boolean isAllServed = passOn == servedPassOn && servedUpTo.equals(log.last());
-        if (now >= due || !isAllServed) {
+    /**
+     * Serves the downstreams that are ready, or all of them if a timer is due or the log has grown:
+     * retransmits lost changes, sends new changes if forwarding is allowed, and sends due
+     * heartbeats.
+     */
+    void serve(Message.Heartbeat heartbeat, boolean canForward, long now) {
+        boolean isUpToDate = canForward == servedForwarding && servedPosition.equals(log.last());
+        if (now >= due || !isUpToDate) {
             ready.addAll(downstreams.values());
             due = Long.MAX_VALUE;
-            servedUpTo = log.last();
-            servedPassOn = passOn;
+            servedPosition = log.last();
+            servedForwarding = canForward;
         }
         for (Downstream downstream : ready) {
-            serve(downstream, heartbeat, passOn, now);
-            due = Math.min(due, dueOf(downstream, passOn));
+            serve(downstream, heartbeat, canForward, now);
+            due = Math.min(due, dueOf(downstream, canForward));
         }
         ready.clear();
     }
 
     private void serve(
-            Downstream downstream, Message.Heartbeat heartbeat, boolean passOn, long now) {
-        downstream.checkAcknowledged(now);
+            Downstream downstream, Message.Heartbeat heartbeat, boolean canForward, long now) {
+        downstream.rewindOnTimeout(now);
         FragmentBatch batch =
                 new FragmentBatch(
                         settings.limits().messageBytes(),
                         fragments ->
                                 send(downstream, new Message.Changes(heartbeat, fragments), now));
         repair(downstream, batch, now);
-        if (passOn) {
-            passOn(downstream, batch, now);
+        if (canForward) {
+            forwardNew(downstream, batch, now);
         }
         batch.flush();
         if (now >= downstream.heartbeatDue()) {
@@ -143,9 +153,9 @@
                 .filter(fragment -> fragment.count() == 1);
     }
 
-    private void passOn(Downstream downstream, FragmentBatch batch, long now) {
+    private void forwardNew(Downstream downstream, FragmentBatch batch, long now) {
         Optional<Fragment> next = next(downstream);
-        while (next.isPresent() && downstream.maySend(next.get().size(), now)) {
+        while (next.isPresent() && downstream.canSend(next.get().size(), now)) {
             batch.add(next.get());
             downstream.fragmentSent(next.get(), now);
             next = next(downstream);
@@ -158,7 +168,8 @@
     }
 
     /**
-     * The next fragment for a downstream; the log may have lost what it needs, then there is none.
+     * The next fragment for a downstream; empty if it is up to date or the log no longer has the
+     * change that follows its position.
      */
     private Optional<Fragment> next(Downstream downstream) {
         return log.after(downstream.sentUpTo())
@@ -167,11 +178,11 @@
     }
 
     private Fragment fragment(Change change, int index) {
-        int most = settings.limits().messageBytes() - Fragment.HEADER_BYTES;
+        int maxPartBytes = settings.limits().messageBytes() - Fragment.HEADER_BYTES;
         byte[] body = change.body();
-        int count = Math.max(1, (body.length + most - 1) / most);
-        int from = Math.min(index, count - 1) * most;
-        byte[] part = Arrays.copyOfRange(body, from, Math.min(body.length, from + most));
+        int count = Math.max(1, (body.length + maxPartBytes - 1) / maxPartBytes);
+        int from = Math.min(index, count - 1) * maxPartBytes;
+        byte[] part = Arrays.copyOfRange(body, from, Math.min(body.length, from + maxPartBytes));
         return new Fragment(
                 change.position(),
                 change.previous(),
@@ -181,30 +192,30 @@
                 part);
     }
 
-    /** When {@link #serve} is to be called again at the latest. */
+    /** The latest time for the next call of {@link #serve}. */
     long due() {
         return due;
     }
 
-    private long dueOf(Downstream downstream, boolean passOn) {
+    private long dueOf(Downstream downstream, boolean canForward) {
         long first = Math.min(downstream.heartbeatDue(), downstream.dropDue());
-        first = Math.min(first, downstream.resendDue());
+        first = Math.min(first, downstream.retransmitDue());
         first = Math.min(first, repairDue(downstream));
-        return passOn ? Math.min(first, passOnDue(downstream)) : first;
+        return canForward ? Math.min(first, forwardDue(downstream)) : first;
     }
 
     private long repairDue(Downstream downstream) {
         return nextRepair(downstream)
-                .map(fragment -> downstream.creditDue(fragment.size()))
+                .map(fragment -> downstream.creditAvailableAt(fragment.size()))
                 .orElse(Long.MAX_VALUE);
     }
 
-    private long passOnDue(Downstream downstream) {
+    private long forwardDue(Downstream downstream) {
         Optional<Fragment> next = next(downstream);
         if (next.isEmpty() || downstream.isWindowFull(next.get().size())) {
             return Long.MAX_VALUE;
         }
-        return downstream.creditDue(next.get().size());
+        return downstream.creditAvailableAt(next.get().size());
     }
 
     void addProgress(ProgressTable table, long now) {
--- a/src/main/java/cairnbridge/propagation/FragmentAssembler.java
+++ b/src/main/java/cairnbridge/propagation/FragmentAssembler.java
@@ -4,12 +4,12 @@
 import java.util.Optional;
 
 /**
- * Puts fragments together again, one change at a time. It is given only what its owner can take
- * next; should that be several changes, as after a new epoch, the latest is put together.
+ * Reassembles fragmented changes, one at a time. The owner adds only fragments of changes that it
+ * can apply next; if several changes qualify, as after a new epoch, the latest is reassembled.
  */
 final class FragmentAssembler {
     private final int maxBytes;
-    private Fragment like;
+    private Fragment current;
     private byte[][] parts;
     private int missing;
     private int bytes;
@@ -18,13 +18,14 @@
         this.maxBytes = maxBytes;
     }
 
-    /** Bytes held for a change that is not whole yet. */
+    /** The bytes buffered for an incomplete change. */
     int bytes() {
         return bytes;
     }
 
     /**
-     * The change, where this fragment makes one whole; fragments at odds with others are dropped.
+     * Adds a fragment; returns the change if it is complete now. Invalid fragments, and fragments
+     * inconsistent with those already buffered, are dropped.
      */
     Optional<Change> add(Fragment fragment) {
         if (fragment.count() < 1
@@ -39,54 +40,58 @@
                     ? Optional.empty()
                     : Optional.of(fragment.toChange());
         }
-        if (like == null || fragment.position().isAfter(like.position())) {
-            begin(fragment);
+        if (current == null || fragment.position().isAfter(current.position())) {
+            startChange(fragment);
         }
         if (!isOfSameChange(fragment) || parts[fragment.index()] != null) {
             return Optional.empty();
         }
         if (bytes + fragment.bytes().length > maxBytes) {
-            drop();
+            reset();
             return Optional.empty();
         }
         parts[fragment.index()] = fragment.bytes();
         bytes += fragment.bytes().length;
-        return --missing > 0 ? Optional.empty() : Optional.of(finish());
+        return --missing > 0 ? Optional.empty() : Optional.of(assemble());
     }
 
-    /** Forgets what is no longer needed by one who holds all up to a position. */
-    void forget(Position held) {
-        if (like != null && !like.position().isAfter(held)) {
-            drop();
+    /** Discards the incomplete change if its position is not after the given one. */
+    void discardUpTo(Position receivedUpTo) {
+        if (current != null && !current.position().isAfter(receivedUpTo)) {
+            reset();
         }
     }
 
     private boolean isOfSameChange(Fragment fragment) {
-        return fragment.position().equals(like.position()) && fragment.count() == like.count();
+        return fragment.position().equals(current.position())
+                && fragment.count() == current.count();
     }
 
-    private void begin(Fragment fragment) {
-        like = fragment;
+    private void startChange(Fragment fragment) {
+        current = fragment;
         parts = new byte[fragment.count()][];
         missing = fragment.count();
         bytes = 0;
     }
 
-    private void drop() {
-        like = null;
+    private void reset() {
+        current = null;
         parts = null;
         bytes = 0;
     }
 
-    private Change finish() {
+    private Change assemble() {
         ByteArrayOutputStream body = new ByteArrayOutputStream(bytes);
         for (byte[] part : parts) {
             body.writeBytes(part);
         }
         Change change =
                 new Change(
-                        like.position(), like.previous(), like.superseding(), body.toByteArray());
-        drop();
+                        current.position(),
+                        current.previous(),
+                        current.superseding(),
+                        body.toByteArray());
+        reset();
         return change;
     }
 }
--- a/src/main/java/cairnbridge/propagation/Subscriber.java
+++ b/src/main/java/cairnbridge/propagation/Subscriber.java
@@ -8,16 +8,18 @@
 import java.util.Optional;
 
 /**
- * A receiver of changes, which also passes them on to those who subscribe with it. Whether it is a
- * relay is only a matter of whether others name it as their candidate.
+ * Receives changes from a parent and forwards them to subscribed downstreams. A subscriber acts as
+ * a relay if other members have it as a candidate parent; it needs no configuration for that.
  *
- * <p>It never applies a change it has rejected, nor one that is not after all it has received:
- * doubled, late and overtaken messages change nothing. Messages of an epoch lower than the highest
- * it knows of are ignored, and are answered with that epoch.
+ * <p>A subscriber never applies a change that it has rejected or that is not after all changes
+ * received: duplicated, late and reordered messages have no effect. Messages with an epoch lower
+ * than the highest one seen are ignored and answered with a report that carries the highest epoch.
  */
 public final class Subscriber {
-    /** News is reported this often again soon, as a report may be lost. */
-    private static final int NEWS_REPETITIONS = 2;
+    /**
+     * How many times a changed report is repeated at short intervals, because reports can be lost.
+     */
+    private static final int CHANGE_REPORT_REPETITIONS = 2;
 
     private final MemberId id;
     private final long generation;
@@ -34,20 +36,21 @@
     private long now;
     private long epoch;
     private int hops;
-    private Position held;
+    private Position receivedUpTo;
     private Position inForce;
-    private long gatherUntil;
+    private long batchUntil;
     private long reportAt;
-    private int repetitions;
+    private int remainingRepetitions;
     private long reportNumber;
 
     /**
-     * One that has something in force from an earlier generation.
+     * Creates a subscriber that continues with the change in force before a restart, if any.
      *
-     * @param generation another number in each generation of the member
-     * @param location empty for control machines, who are not counted
-     * @param candidates for parent, the best first
-     * @param latest what is in force from an earlier generation
+     * @param generation a number that differs after each restart of the member
+     * @param location the location of a member; empty for control machines, which are not counted
+     *     in the coverage
+     * @param candidates the candidate parents, the preferred one first
+     * @param latest the change in force before the restart, if any
      */
     public Subscriber(
             MemberId id,
@@ -65,7 +68,7 @@
         this.host = host;
         clock = new ElapsedClock(time);
         inForce = latest.map(Change::position).orElse(Position.NONE);
-        held = inForce;
+        receivedUpTo = inForce;
         epoch = inForce.epoch();
         log = RetainedLog.startingWith(settings, latest);
         downstreams = new Downstreams(settings, log, host);
@@ -73,55 +76,58 @@
         reorder = new ReorderBuffer(settings.flow().windowBytes());
         parentSelector = new ParentSelector(settings, candidates, now);
         reportAt = now;
-        gatherUntil = now;
+        batchUntil = now;
     }
 
-    /** The newest change in force here. */
+    /** The position of the newest change in force at this subscriber. */
     public Position inForce() {
         return inForce;
     }
 
-    /** All up to here has been received. */
-    public Position held() {
-        return held;
+    /** The position up to which all changes have been received. */
+    public Position receivedUpTo() {
+        return receivedUpTo;
     }
 
-    /** The highest epoch it knows of. */
+    /** The highest epoch seen so far. */
     public long epoch() {
         return epoch;
     }
 
-    /** What it may pass on. */
+    /** The log that is forwarded to downstreams. */
     public RetainedLog log() {
         return log;
     }
 
-    /** How many nodes are subscribed to it. */
+    /** The number of subscribed downstreams. */
     public int downstreams() {
         return downstreams.size();
     }
 
-    /** The most that is on its way to any downstream, in bytes. */
+    /** The maximum number of bytes in flight to a single downstream. */
     public int maxInFlightBytes() {
         return downstreams.maxInFlightBytes();
     }
 
-    /** Bytes held for a change that is not whole yet. */
+    /** The bytes buffered for an incomplete change. */
     public int assemblerBytes() {
         return assembler.bytes();
     }
 
-    /** Bytes held of changes that came before those they follow. */
+    /** The bytes buffered for changes that arrived before their predecessors. */
     public int reorderBytes() {
         return reorder.bytes();
     }
 
-    /** The parent it has or asks for now; empty where there is no candidate. */
+    /**
+     * The current parent, whether or not it has accepted the subscription; empty if there are no
+     * candidates.
+     */
     public Optional<MemberId> parent() {
         return parentSelector.isEmpty() ? Optional.empty() : Optional.of(parentSelector.parent());
     }
 
-    /** New candidates, as members came or went. */
+    /** Replaces the candidate parents after members have joined or left. */
     public void candidates(List<MemberId> candidates, long time) {
         advance(time);
         parentSelector.replace(candidates, now);
@@ -129,21 +135,21 @@
         fireTimers(time);
     }
 
-    /** Handles a message. */
+    /** Handles a message from a candidate parent or a downstream. */
     public void handle(MemberId from, Message message, long time) {
         advance(time);
         if (message instanceof Message.Report report) {
             handleReport(from, report);
         } else if (message instanceof Message.Leave) {
             if (downstreams.remove(from)) {
-                reportSoon(settings.reports().delay());
+                scheduleReport(settings.reports().delay());
             }
         } else if (message instanceof Message.SubscriptionRejected) {
             if (!parentSelector.isEmpty() && from.equals(parentSelector.parent())) {
-                parentSelector.rejected(now);
+                parentSelector.handleRejection(now);
             }
-        } else if (message instanceof Message.KeepAlive beat) {
-            handleParentMessage(from, beat.heartbeat(), List.of());
+        } else if (message instanceof Message.KeepAlive keepAlive) {
+            handleParentMessage(from, keepAlive.heartbeat(), List.of());
         } else if (message instanceof Message.Changes changes) {
             handleParentMessage(from, changes.heartbeat(), changes.fragments());
         }
@@ -159,7 +165,7 @@
             epoch = report.epoch();
         }
         if (downstreams.handleReport(from, report, heartbeat(), now)) {
-            reportSoon(settings.reports().delay());
+            scheduleReport(settings.reports().delay());
         }
     }
 
@@ -173,9 +179,9 @@
             return;
         }
         epoch = heartbeat.epoch();
-        MemberId before = parentSelector.parent();
+        MemberId previousParent = parentSelector.parent();
         if (parentSelector.handleHeartbeat(from, heartbeat, now)) {
-            host.send(before, new Message.Leave(epoch));
+            host.send(previousParent, new Message.Leave(epoch));
             reportAt = now;
         }
         if (from.equals(parentSelector.parent())) {
@@ -185,35 +191,35 @@
     }
 
     private void handleFragment(Fragment fragment) {
-        if (!fragment.position().isAfter(held)) {
-            // The parent repeats itself: it has not heard that this was received.
-            reportSoon(settings.reports().delay());
+        if (!fragment.position().isAfter(receivedUpTo)) {
+            // A repeated fragment: the parent has not received the acknowledgement.
+            scheduleReport(settings.reports().delay());
         } else if (fragment.position().epoch() > epoch) {
             return;
-        } else if (fragment.follows(held)) {
-            assembler.add(fragment).ifPresent(this::receiveWithThoseAfter);
+        } else if (fragment.follows(receivedUpTo)) {
+            assembler.add(fragment).ifPresent(this::receiveWithBuffered);
         } else if (fragment.count() == 1) {
             reorder.add(fragment.toChange());
-            reportSoon(0);
+            scheduleReport(0);
         }
     }
 
-    private void receiveWithThoseAfter(Change change) {
+    private void receiveWithBuffered(Change change) {
         Optional<Change> next = Optional.of(change);
         while (next.isPresent()) {
             receive(next.get());
-            next = reorder.takeNext(held);
+            next = reorder.takeNext(receivedUpTo);
         }
     }
 
     private void receive(Change change) {
-        held = change.position();
-        assembler.forget(held);
+        receivedUpTo = change.position();
+        assembler.discardUpTo(receivedUpTo);
         log.append(change);
-        if (now >= gatherUntil) {
-            gatherUntil = now + settings.reports().batchDelay();
+        if (now >= batchUntil) {
+            batchUntil = now + settings.reports().batchDelay();
         }
-        reportSoon(settings.reports().batchDelay());
+        scheduleReport(settings.reports().batchDelay());
         Optional<String> reason = host.apply(change);
         if (change.superseding()) {
             rejected.clear();
@@ -232,18 +238,21 @@
         rejected.put(rejection.position(), rejection);
     }
 
-    private void reportSoon(long delay) {
-        repetitions = NEWS_REPETITIONS;
+    private void scheduleReport(long delay) {
+        remainingRepetitions = CHANGE_REPORT_REPETITIONS;
         reportAt = Math.min(reportAt, now + delay);
     }
 
-    /** Does what is due now. */
+    /**
+     * Sends the reports, changes and retransmissions that are due, removes silent downstreams and
+     * replaces a lost parent.
+     */
     public void fireTimers(long time) {
         advance(time);
         if (downstreams.dropSilent(now)) {
-            reportSoon(settings.reports().delay());
+            scheduleReport(settings.reports().delay());
         }
-        downstreams.serve(heartbeat(), now >= gatherUntil, now);
+        downstreams.serve(heartbeat(), now >= batchUntil, now);
         if (parentSelector.isEmpty()) {
             return;
         }
@@ -251,7 +260,7 @@
             switchParent();
         }
         if (now >= reportAt || parentSelector.isSubscriptionDue(now)) {
-            reportAt = now + untilNextReport();
+            reportAt = now + nextReportDelay();
             sendReports(parentSelector.parent());
         }
         if (parentSelector.isPreferredDue(now)) {
@@ -259,26 +268,26 @@
         }
     }
 
-    /** When {@link #fireTimers} is to be called next at the latest, by the caller's clock. */
+    /** The latest time, by the caller's clock, for the next call of {@link #fireTimers}. */
     public long nextTimer() {
-        return clock.shownAt(elapsedDue());
+        return clock.clockTimeAt(elapsedDue());
     }
 
     private long elapsedDue() {
         long due = downstreams.due();
-        if (now < gatherUntil) {
-            due = Math.min(due, gatherUntil);
+        if (now < batchUntil) {
+            due = Math.min(due, batchUntil);
         }
         return parentSelector.isEmpty()
                 ? due
                 : Math.min(due, Math.min(reportAt, parentSelector.due()));
     }
 
-    private long untilNextReport() {
-        if (repetitions == 0) {
+    private long nextReportDelay() {
+        if (remainingRepetitions == 0) {
             return settings.reports().interval();
         }
-        repetitions--;
+        remainingRepetitions--;
         return Math.max(settings.heartbeat().subscribeTimeout(), settings.reports().delay());
     }
 
@@ -295,11 +304,11 @@
     private void sendReports(MemberId to) {
         ProgressTable table = new ProgressTable();
         location.ifPresent(
-                place ->
+                member ->
                         table.add(
                                 new SiteProgress(
-                                        place.site(),
-                                        List.of(new SiteProgress.Step(inForce, place.bit())))));
+                                        member.site(),
+                                        List.of(new SiteProgress.Step(inForce, member.bit())))));
         downstreams.addProgress(table, now);
         List<Rejection> rejections = new ArrayList<>(rejected.values());
         rejections.addAll(downstreams.rejections());
@@ -312,7 +321,7 @@
                             epoch,
                             generation,
                             reportNumber,
-                            held,
+                            receivedUpTo,
                             reorder.missingTo(),
                             part.sites(),
                             part.rejections()));
--- a/src/main/java/cairnbridge/propagation/simulated/PropagationRuns.java
+++ b/src/main/java/cairnbridge/propagation/simulated/PropagationRuns.java
@@ -10,23 +10,26 @@
 import java.util.List;
 import java.util.function.ToLongFunction;
 
-/** Measures how fast changes come into force at all members, and at what cost. */
+/**
+ * Measures how long changes take to come into force at all members, and how much traffic that
+ * takes.
+ */
 public final class PropagationRuns implements PropagationObserver {
     private static final long SECOND = PropagationNet.SECOND;
     private static final long SETTLE = 10 * SECOND;
-    private static final long KILL_AFTER = 50 * Ticks.MILLISECOND;
-    private static final long RESTART_AFTER = 15 * SECOND;
-    private static final long LAST_WAIT = 30 * SECOND;
+    private static final long KILL_DELAY = 50 * Ticks.MILLISECOND;
+    private static final long RESTART_DELAY = 15 * SECOND;
+    private static final long FINAL_WAIT = 30 * SECOND;
 
     /**
-     * What is to be measured.
+     * The fleet, the settings and the changes of one run.
      *
-     * @param direct without relays
-     * @param loss part of messages lost
-     * @param killRelay whether a relay is killed with each change under way
-     * @param bodyBytes of each change
-     * @param superseding whether each change replaces those before it
-     * @param every a change is published this often
+     * @param direct whether members subscribe directly to control machines, without relays
+     * @param loss the probability that a message is lost
+     * @param killRelay whether a relay is killed while each change propagates
+     * @param bodyBytes the size of the body of each change
+     * @param superseding whether each change replaces all earlier ones
+     * @param every the interval between changes, in ticks
      */
     public record Plan(
             FleetLayout layout,
@@ -40,40 +43,44 @@
             long every,
             long seed) {}
 
-    /** Spans in seconds; of those that came to an end. */
+    /** Percentiles, in seconds, of the spans that completed, and the number that never did. */
     public record Spans(double median, double ninetyNine, double worst, int never) {
         static Spans of(List<Long> spans, int expected) {
             List<Long> sorted = spans.stream().sorted().toList();
             return new Spans(
-                    part(sorted, 0.5),
-                    part(sorted, 0.99),
-                    part(sorted, 1),
+                    percentile(sorted, 0.5),
+                    percentile(sorted, 0.99),
+                    percentile(sorted, 1),
                     expected - spans.size());
         }
 
-        private static double part(List<Long> sorted, double part) {
+        private static double percentile(List<Long> sorted, double fraction) {
             if (sorted.isEmpty()) {
                 return Double.NaN;
             }
-            int index = (int) Math.ceil(part * sorted.size()) - 1;
+            int index = (int) Math.ceil(fraction * sorted.size()) - 1;
             return sorted.get(Math.max(0, index)) / (double) SECOND;
         }
     }
 
-    /** Bytes and messages a second: the mean of some processes, and the most that one has. */
+    /**
+     * Bytes and messages per second of a group of processes: the mean, and for bytes also the
+     * maximum of one process.
+     */
     public record Traffic(
             double sent, double mostSent, double received, double mostReceived, double messages) {}
 
     /**
-     * What was measured.
+     * The measurements of one run.
      *
-     * @param inForce from publishing until all living members have it in force
-     * @param known until the publisher knows that
-     * @param quietMembers while nothing changes
-     * @param members while changes are published
-     * @param controls while changes are published
-     * @param mostChildren of any process at the end
-     * @param violations what must not happen but did
+     * @param inForce the time from publishing a change until all running members have it in force
+     * @param known the time from publishing a change until the publisher knows that all running
+     *     members have it in force
+     * @param quietMembers traffic of the members while no changes are published
+     * @param members traffic of the members while changes are published
+     * @param controls traffic of the control machines while changes are published
+     * @param mostChildren the maximum number of downstreams of any process at the end
+     * @param violations the number of violated invariants
      */
     public record Result(
             Spans inForce,
@@ -84,27 +91,27 @@
             int mostChildren,
             int violations) {}
 
-    private record Open(Position position, long publishedAt) {}
+    private record PendingChange(Position position, long publishedAt) {}
 
-    private record Counted(long sent, long received, long messages) {}
+    private record TrafficCounters(long sent, long received, long messages) {}
 
     private final Plan plan;
     private final PropagationNet net;
-    private final SimulatedNode source;
-    private final Deque<Open> notInForce = new ArrayDeque<>();
-    private final Deque<Open> notKnown = new ArrayDeque<>();
-    private final List<Long> inForceAfter = new ArrayList<>();
-    private final List<Long> knownAfter = new ArrayList<>();
-    private int applied;
+    private final SimulatedNode publisherNode;
+    private final Deque<PendingChange> awaitingInForce = new ArrayDeque<>();
+    private final Deque<PendingChange> awaitingConfirmation = new ArrayDeque<>();
+    private final List<Long> inForceDelays = new ArrayList<>();
+    private final List<Long> confirmationDelays = new ArrayList<>();
+    private int appliedCount;
 
     private PropagationRuns(Plan plan) {
         this.plan = plan;
         net = new PropagationNet(plan.layout, plan.settings, plan.direct, plan.seed);
-        source = net.controls().get(0);
+        publisherNode = net.controls().get(0);
         net.observer = this;
     }
 
-    /** Runs a plan. */
+    /** Runs a plan on a new simulated network. */
     public static Result run(Plan plan) {
         return new PropagationRuns(plan).run();
     }
@@ -114,31 +121,31 @@
         net.advance(SETTLE);
         net.loss = plan.loss;
         net.advance(SETTLE);
-        List<Counted> before = count(net.members());
+        List<TrafficCounters> before = readCounters(net.members());
         net.advance(SETTLE);
         Traffic quiet = traffic(net.members(), before, SETTLE);
-        before = count(net.members());
-        List<Counted> controlsBefore = count(net.controls());
+        before = readCounters(net.members());
+        List<TrafficCounters> controlsBefore = readCounters(net.controls());
         long from = net.now();
         for (int i = 0; i < plan.changes; i++) {
             publish();
             if (plan.killRelay) {
                 int number = i;
-                net.schedule(KILL_AFTER, () -> killRelay(number));
+                net.schedule(KILL_DELAY, () -> killRelay(number));
             }
             net.advance(plan.every);
         }
         long span = net.now() - from;
         Traffic members = traffic(net.members(), before, span);
         Traffic controls = traffic(net.controls(), controlsBefore, span);
-        net.advance(LAST_WAIT);
+        net.advance(FINAL_WAIT);
         int children =
                 net.runningMembers().stream().mapToInt(SimulatedNode::downstreams).max().orElse(0);
         int controlChildren =
                 net.controls().stream().mapToInt(SimulatedNode::downstreams).max().orElse(0);
         return new Result(
-                Spans.of(inForceAfter, plan.changes),
-                Spans.of(knownAfter, plan.changes),
+                Spans.of(inForceDelays, plan.changes),
+                Spans.of(confirmationDelays, plan.changes),
                 quiet,
                 members,
                 controls,
@@ -147,53 +154,56 @@
     }
 
     private void publish() {
-        Position position = net.publish(source, new byte[plan.bodyBytes], plan.superseding);
-        Open open = new Open(position, net.now());
-        notInForce.add(open);
-        notKnown.add(open);
-        applied = 0;
+        Position position = net.publish(publisherNode, new byte[plan.bodyBytes], plan.superseding);
+        PendingChange pending = new PendingChange(position, net.now());
+        awaitingInForce.add(pending);
+        awaitingConfirmation.add(pending);
+        appliedCount = 0;
     }
 
-    /** In turn a relay of a region and one of a site: the member there that has most children. */
+    /**
+     * Kills alternately a region relay and a site relay: the member there with the most
+     * downstreams.
+     */
     private void killRelay(int number) {
         int regions = plan.layout.regions();
         int sites = plan.layout.sites();
         boolean isRegion = number % 2 == 0;
-        String place = isRegion ? "r" + number / 2 % regions : "s" + number / 2 % sites;
+        String regionOrSite = isRegion ? "r" + number / 2 % regions : "s" + number / 2 % sites;
         SimulatedNode victim =
                 net.runningMembers().stream()
-                        .filter(node -> isAt(node, place))
+                        .filter(node -> isAt(node, regionOrSite))
                         .max(Comparator.comparingInt(SimulatedNode::downstreams))
                         .orElseThrow();
         net.crash(victim);
         checkInForce();
-        net.schedule(RESTART_AFTER, () -> net.start(victim));
+        net.schedule(RESTART_DELAY, () -> net.start(victim));
     }
 
-    private static boolean isAt(SimulatedNode node, String place) {
-        return node.location.get().region().equals(place)
-                || node.location.get().site().equals(place);
+    private static boolean isAt(SimulatedNode node, String regionOrSite) {
+        return node.location.get().region().equals(regionOrSite)
+                || node.location.get().site().equals(regionOrSite);
     }
 
     @Override
-    public void applied(SimulatedNode node, Position before, Position after) {
-        applied++;
-        // Looking at all members is dear, and in vain until most have applied something.
-        if (plan.killRelay || applied >= plan.layout.members() || notInForce.size() > 1) {
+    public void onApplied(SimulatedNode node, Position before, Position after) {
+        appliedCount++;
+        // Checking all members is expensive, and cannot succeed until most have applied a change.
+        if (plan.killRelay || appliedCount >= plan.layout.members() || awaitingInForce.size() > 1) {
             checkInForceOf(node);
         }
     }
 
     private void checkInForceOf(SimulatedNode node) {
-        Open oldest = notInForce.peek();
+        PendingChange oldest = awaitingInForce.peek();
         if (oldest != null && !oldest.position.isAfter(node.inForce())) {
             checkInForce();
         }
     }
 
     private void checkInForce() {
-        while (!notInForce.isEmpty() && isInForce(notInForce.peek().position)) {
-            inForceAfter.add(net.now() - notInForce.poll().publishedAt);
+        while (!awaitingInForce.isEmpty() && isInForce(awaitingInForce.peek().position)) {
+            inForceDelays.add(net.now() - awaitingInForce.poll().publishedAt);
         }
     }
 
@@ -207,58 +217,64 @@
     }
 
     @Override
-    public void reported(SimulatedNode node) {
-        while (!notKnown.isEmpty() && isKnown(notKnown.peek().position)) {
-            knownAfter.add(net.now() - notKnown.poll().publishedAt);
+    public void onReported(SimulatedNode node) {
+        while (!awaitingConfirmation.isEmpty() && isKnown(awaitingConfirmation.peek().position)) {
+            confirmationDelays.add(net.now() - awaitingConfirmation.poll().publishedAt);
         }
     }
 
-    /** Those that do not run are excepted, as whoever assigns relays would except them. */
+    /**
+     * Members that are not running are not counted, because the assignment of relays would exclude
+     * them as well.
+     */
     private boolean isKnown(Position position) {
-        if (source.publisher() == null) {
+        if (publisherNode.publisher() == null) {
             return false;
         }
         int living = net.runningMembers().size();
-        return source.publisher().coverage(position).inForce() >= living;
+        return publisherNode.publisher().coverage(position).inForce() >= living;
     }
 
-    private static List<Counted> count(List<SimulatedNode> nodes) {
+    private static List<TrafficCounters> readCounters(List<SimulatedNode> nodes) {
         return nodes.stream()
                 .map(
                         node ->
-                                new Counted(
+                                new TrafficCounters(
                                         node.bytesSent(),
                                         node.bytesReceived(),
                                         node.messagesSent()))
                 .toList();
     }
 
-    private static Traffic traffic(List<SimulatedNode> nodes, List<Counted> before, long span) {
-        List<Counted> spent = new ArrayList<>();
-        List<Counted> after = count(nodes);
+    private static Traffic traffic(
+            List<SimulatedNode> nodes, List<TrafficCounters> before, long span) {
+        List<TrafficCounters> differences = new ArrayList<>();
+        List<TrafficCounters> after = readCounters(nodes);
         for (int i = 0; i < nodes.size(); i++) {
-            Counted now = after.get(i);
-            Counted then = before.get(i);
-            spent.add(
-                    new Counted(
-                            now.sent - then.sent,
-                            now.received - then.received,
-                            now.messages - then.messages));
+            TrafficCounters end = after.get(i);
+            TrafficCounters start = before.get(i);
+            differences.add(
+                    new TrafficCounters(
+                            end.sent - start.sent,
+                            end.received - start.received,
+                            end.messages - start.messages));
         }
         double seconds = span / (double) SECOND;
         return new Traffic(
-                mean(spent, Counted::sent) / seconds,
-                most(spent, Counted::sent) / seconds,
-                mean(spent, Counted::received) / seconds,
-                most(spent, Counted::received) / seconds,
-                mean(spent, Counted::messages) / seconds);
+                mean(differences, TrafficCounters::sent) / seconds,
+                max(differences, TrafficCounters::sent) / seconds,
+                mean(differences, TrafficCounters::received) / seconds,
+                max(differences, TrafficCounters::received) / seconds,
+                mean(differences, TrafficCounters::messages) / seconds);
     }
 
-    private static double mean(List<Counted> counted, ToLongFunction<Counted> of) {
-        return counted.stream().mapToLong(of).average().orElse(0);
+    private static double mean(
+            List<TrafficCounters> counted, ToLongFunction<TrafficCounters> counter) {
+        return counted.stream().mapToLong(counter).average().orElse(0);
     }
 
-    private static double most(List<Counted> counted, ToLongFunction<Counted> of) {
-        return counted.stream().mapToLong(of).max().orElse(0);
+    private static double max(
+            List<TrafficCounters> counted, ToLongFunction<TrafficCounters> counter) {
+        return counted.stream().mapToLong(counter).max().orElse(0);
     }
 }
