--- a/src/main/java/cairnbridge/admin/AdminCommands.java
+++ b/src/main/java/cairnbridge/admin/AdminCommands.java
@@ -6,13 +6,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 
-/** The commands of the administration endpoint, and the texts of their answers. */
+/** Executes the commands of the administration endpoint and formats their answers. */
 final class AdminCommands {
     private static final String OK = "200 ";
     private static final String ERROR = "400 ";
     private static final String END_OF_REPORT = "EOF";
 
-    /** Guards against a client that waits in vain while the owner of the decisions is behind. */
+    /** Guards against a client that waits without an answer while another thread is overloaded. */
     private static final long TIMEOUT_MILLIS = 800;
 
     private final AdminOperations operations;
@@ -23,33 +23,33 @@
         this.metrics = metrics;
     }
 
-    /** The text of an answer that reports an error. */
+    /** Formats the answer for an error. */
     static String error(String message) {
         return ERROR + message;
     }
 
-    /** The answer to a request line; it never completes with an exception. */
+    /** Executes a request line. The returned future never completes exceptionally. */
     CompletableFuture<String> execute(String request) {
         String[] words = request.split(" +", 2);
         String command = words[0];
         String argument = words.length > 1 ? words[1] : "";
         return switch (command) {
-            case "status" -> now(operations.isReady() ? OK + "ready" : error("not ready"));
-            case "stats" -> now(metrics.format() + END_OF_REPORT);
-            case "standby", "active" -> now(standby(command));
+            case "status" -> completed(operations.isReady() ? OK + "ready" : error("not ready"));
+            case "stats" -> completed(metrics.format() + END_OF_REPORT);
+            case "standby", "active" -> completed(standby(command));
             case "maint-on" -> maintenance(argument, true);
             case "maint-off" -> maintenance(argument, false);
             case "members", "members-json" ->
-                    now(operations.fleetStatus(command, argument).orElse(error("no fleet")));
+                    completed(operations.fleetStatus(command, argument).orElse(error("no fleet")));
             case "member" ->
-                    now(operations.fleetStatus(command, argument).orElse(error("no such member")));
-            case "recovery" -> now(recovery());
+                    completed(operations.fleetStatus(command, argument).orElse(error("no such member")));
+            case "recovery" -> completed(recovery());
             case "zones", "zone-drain", "zone-restore" -> zones(request);
-            default -> now(error("no such call"));
+            default -> completed(error("no such call"));
         };
     }
 
-    private static CompletableFuture<String> now(String answer) {
+    private static CompletableFuture<String> completed(String answer) {
         return CompletableFuture.completedFuture(answer);
     }
 
@@ -69,14 +69,14 @@
         return operations
                 .setMaintenance(node, on)
                 .orTimeout(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
-                .handle((known, failure) -> maintenanceAnswer(on, known, failure));
+                .handle((nodeKnown, failure) -> maintenanceAnswer(on, nodeKnown, failure));
     }
 
-    private static String maintenanceAnswer(boolean on, Boolean known, Throwable failure) {
+    private static String maintenanceAnswer(boolean on, Boolean nodeKnown, Throwable failure) {
         if (failure != null) {
             return maintenanceFailure(failure);
         }
-        if (!known) {
+        if (!nodeKnown) {
             return error("no such node");
         }
         return OK + (on ? "out" : "back");
@@ -95,7 +95,7 @@
     private CompletableFuture<String> zones(String request) {
         Optional<CompletableFuture<String>> result = operations.zoneCommand(request);
         if (result.isEmpty()) {
-            return now(error("no plans over zones"));
+            return completed(error("no plans over zones"));
         }
         return result.get()
                 .orTimeout(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
--- a/src/main/java/cairnbridge/admin/AdminConnection.java
+++ b/src/main/java/cairnbridge/admin/AdminConnection.java
@@ -13,8 +13,8 @@
 import java.util.logging.Logger;
 
 /**
- * One connection to the administration endpoint: a request line comes, an answer goes, and the
- * connection is closed. It belongs to the endpoint's thread; only the answer may be set by another.
+ * A connection to the administration endpoint: reads one request line, writes the answer and closes
+ * the connection. All methods run on the endpoint's thread, but the answer may be set by another.
  */
 final class AdminConnection {
     private static final Logger LOG = Logger.getLogger(AdminConnection.class.getName());
@@ -24,8 +24,8 @@
 
     private final SocketChannel channel;
     private final AdminCommands commands;
-    private final Consumer<AdminConnection> answeredElsewhere;
-    private final Consumer<AdminConnection> closed;
+    private final Consumer<AdminConnection> onAsyncAnswer;
+    private final Consumer<AdminConnection> onClose;
     private final ByteBuffer line = ByteBuffer.allocate(MAX_LINE_BYTES);
     private final long openedAt = System.nanoTime();
     private SelectionKey key;
@@ -33,10 +33,10 @@
     private volatile ByteBuffer answer;
 
     /**
-     * A connection that was accepted.
+     * Creates the handler of an accepted connection.
      *
-     * @param answeredElsewhere told on any thread that the answer is there after all
-     * @param closed told once the connection is closed
+     * @param answeredElsewhere called on any thread when the answer of an asynchronous command is set
+     * @param closed called before the channel is closed
      */
     AdminConnection(
             SocketChannel channel,
@@ -45,22 +45,22 @@
             Consumer<AdminConnection> closed) {
         this.channel = channel;
         this.commands = commands;
-        this.answeredElsewhere = answeredElsewhere;
-        this.closed = closed;
+        this.onAsyncAnswer = answeredElsewhere;
+        this.onClose = closed;
     }
 
-    /** Waits for the request. */
+    /** Registers the channel with the selector for reading. */
     void register(Selector selector) throws IOException {
         key = channel.register(selector, SelectionKey.OP_READ, this);
     }
 
-    /** Whether it has been open too long, whatever it waits for. */
+    /** Whether the connection has been open longer than the timeout, in any state. */
     boolean isOverdue(long now) {
         return now - openedAt > TIMEOUT_NANOS;
     }
 
-    /** Goes on with reading or writing. */
-    void ready() {
+    /** Reads the request or writes the answer, as far as possible without blocking. */
+    void handleReady() {
         try {
             if (!requestRead) {
                 read();
@@ -74,16 +74,16 @@
     }
 
     private void read() throws IOException {
-        int count = channel.read(line);
-        boolean endOfInput = count < 0;
+        int bytesRead = channel.read(line);
+        boolean endOfInput = bytesRead < 0;
         String text = new String(line.array(), 0, line.position(), CHARSET);
         int end = text.indexOf('\n');
-        boolean lastLine = endOfInput && !text.isBlank();
-        if (end >= 0 || lastLine) {
+        boolean unterminatedLine = endOfInput && !text.isBlank();
+        if (end >= 0 || unterminatedLine) {
             requestRead = true;
             key.interestOps(0);
             if (end >= 0 && !text.substring(end).isBlank()) {
-                // Guards against half of what a client wants done.
+                // Guards against executing only the first of several request lines.
                 answer(AdminCommands.error("one line to a connection"));
             } else {
                 execute((end < 0 ? text : text.substring(0, end)).strip());
@@ -106,7 +106,7 @@
                 result.thenAccept(
                         text -> {
                             answer(text);
-                            answeredElsewhere.accept(this);
+                            onAsyncAnswer.accept(this);
                         });
     }
 
@@ -119,15 +119,16 @@
         if (answer.hasRemaining()) {
             key.interestOps(SelectionKey.OP_WRITE);
         } else {
-            // Guards against an answer that is reset by what the client has sent behind its line.
+            // Guards against a TCP reset that discards the answer: closing a socket with unread
+            // input resets the connection.
             channel.read(ByteBuffer.allocate(MAX_LINE_BYTES));
             close();
         }
     }
 
-    /** Closes the connection. */
+    /** Removes the connection from the endpoint and closes the channel. */
     void close() {
-        closed.accept(this);
+        onClose.accept(this);
         try {
             channel.close();
         } catch (IOException e) {
--- a/src/main/java/cairnbridge/admin/AdminOperations.java
+++ b/src/main/java/cairnbridge/admin/AdminOperations.java
@@ -3,24 +3,24 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** What the administration endpoint asks of the proxy; every call returns at once. */
+/** The proxy operations that the administration endpoint calls. No method blocks. */
 public interface AdminOperations {
-    /** Whether the proxy takes requests. */
+    /** Whether the proxy accepts requests. */
     boolean isReady();
 
     /**
-     * Takes a node into maintenance, or out of it.
+     * Puts a node into maintenance or ends its maintenance.
      *
-     * @return true once that is in force, false if no such node is known; fails with a {@link
-     *     NotPersistedException} if it is in force but was not persisted
+     * @return true once the change is in force, false if the node is unknown; fails with a {@link
+     *     NotPersistedException} if the change is in force but was not persisted
      */
     CompletableFuture<Boolean> setMaintenance(String node, boolean on);
 
     /**
-     * The status of the fleet.
+     * Returns the status of the fleet or of one member.
      *
      * @param command members, members-json or member
-     * @param id the member that is asked for, with the command member
+     * @param id the member id if the command is member, otherwise ignored
      * @return empty if there is no fleet, or no such member
      */
     default Optional<String> fleetStatus(String command, String id) {
@@ -37,11 +37,11 @@
         return Optional.empty();
     }
 
-    /** How far the recovery after a power loss is; empty if no state is persisted. */
+    /** The progress of the recovery after a power loss; empty if no state is persisted. */
     default Optional<String> recoveryStatus() {
         return Optional.empty();
     }
 
-    /** Sends clients away, or takes them again. */
+    /** Enters standby, in which clients are turned away, or leaves it. */
     void setStandby(boolean on);
 }
--- a/src/main/java/cairnbridge/admin/AdminServer.java
+++ b/src/main/java/cairnbridge/admin/AdminServer.java
@@ -14,11 +14,11 @@
 import java.util.logging.Logger;
 
 /**
- * The administration endpoint of a proxy: answers one request line on each connection. It runs on a
- * thread of its own, which waits for no other thread of the proxy.
+ * The administration endpoint of a proxy: answers one request line per connection. It runs on a
+ * dedicated thread that never blocks on other threads of the proxy.
  */
 public final class AdminServer implements Runnable {
-    /** The most file descriptors it holds, those of its listener and its selector among them. */
+    /** The maximum number of open file descriptors, including the listener and the selector. */
     public static final int MAX_SOCKETS = 36;
 
     private static final Logger LOG = Logger.getLogger(AdminServer.class.getName());
@@ -30,18 +30,18 @@
     private final Selector selector;
     private final ServerSocketChannel listener;
 
-    /** The open connections, the longest open first. */
+    /** The open connections, oldest first. */
     private final List<AdminConnection> connections = new ArrayList<>();
 
-    /** Connections whose answer came from another thread. */
-    private final Queue<AdminConnection> answered = new ConcurrentLinkedQueue<>();
+    /** Connections whose answer was set by another thread and is not yet written. */
+    private final Queue<AdminConnection> asyncAnswers = new ConcurrentLinkedQueue<>();
 
     private volatile boolean stopped;
 
     /**
-     * Opens the endpoint; requests are answered once {@link #run} is called.
+     * Binds the address; requests are answered once {@link #run} is called.
      *
-     * @throws IOException if the address cannot be listened on
+     * @throws IOException if the address cannot be bound
      */
     public AdminServer(InetSocketAddress address, AdminOperations operations, ProxyMetrics metrics)
             throws IOException {
@@ -50,7 +50,7 @@
         listener = ListeningSocket.open(address, SYSTEM_BACKLOG, false, selector);
     }
 
-    /** The address it listens on. */
+    /** The address that the endpoint listens on. */
     public InetSocketAddress address() throws IOException {
         return (InetSocketAddress) listener.getLocalAddress();
     }
@@ -66,7 +66,7 @@
         try (selector;
                 listener) {
             while (!stopped) {
-                turn();
+                selectOnce();
             }
             List.copyOf(connections).forEach(AdminConnection::close);
         } catch (IOException e) {
@@ -74,18 +74,18 @@
         }
     }
 
-    private void turn() throws IOException {
+    private void selectOnce() throws IOException {
         selector.select(SELECT_MILLIS);
         for (SelectionKey key : selector.selectedKeys()) {
             if (key.isValid() && key.isAcceptable()) {
                 accept();
             } else if (key.attachment() instanceof AdminConnection connection) {
-                connection.ready();
+                connection.handleReady();
             }
         }
         selector.selectedKeys().clear();
-        for (AdminConnection each = answered.poll(); each != null; each = answered.poll()) {
-            each.ready();
+        for (AdminConnection next = asyncAnswers.poll(); next != null; next = asyncAnswers.poll()) {
+            next.handleReady();
         }
         closeOverdue(System.nanoTime());
     }
@@ -100,20 +100,20 @@
 
     private void accept() throws IOException {
         for (SocketChannel channel = acceptNext(); channel != null; channel = acceptNext()) {
-            // Guards against clients who hold all connections and send nothing.
+            // Guards against idle clients that occupy all connections: the oldest is closed.
             if (connections.size() >= MAX_CONNECTIONS) {
                 connections.get(0).close();
             }
             channel.configureBlocking(false);
             AdminConnection connection =
                     new AdminConnection(
-                            channel, commands, this::answerAvailable, connections::remove);
+                            channel, commands, this::onAsyncAnswer, connections::remove);
             connection.register(selector);
             connections.add(connection);
         }
     }
 
-    /** Guards against an endpoint that closes for good while the process is out of descriptors. */
+    /** Guards against an endpoint that stops when the process runs out of file descriptors. */
     private SocketChannel acceptNext() {
         try {
             return listener.accept();
@@ -123,9 +123,9 @@
         }
     }
 
-    /** Called on any thread. */
-    private void answerAvailable(AdminConnection connection) {
-        answered.add(connection);
+    /** Queues a connection for writing and wakes the selector; thread-safe. */
+    private void onAsyncAnswer(AdminConnection connection) {
+        asyncAnswers.add(connection);
         selector.wakeup();
     }
 }
--- a/src/main/java/cairnbridge/admin/ListeningSocket.java
+++ b/src/main/java/cairnbridge/admin/ListeningSocket.java
@@ -7,25 +7,25 @@
 import java.nio.channels.Selector;
 import java.nio.channels.ServerSocketChannel;
 
-/** Opens listening sockets, for operators and for clients alike. */
+/** Opens the listening sockets of the administration endpoint and of the client listener. */
 public final class ListeningSocket {
     private ListeningSocket() {}
 
     /**
      * Binds a non-blocking socket and registers it for accepting.
      *
-     * @param backlog the longest queue of connections; 0 for the system's own default
-     * @param shared whether other processes may listen on the address as well
-     * @param selector is closed if the address cannot be listened on
-     * @throws IOException if the address cannot be listened on, which the message names
+     * @param backlog the maximum number of pending connections; 0 for the system default
+     * @param reusePort whether other processes may listen on the same address (SO_REUSEPORT)
+     * @param selector the selector to register with; closed if the address cannot be bound
+     * @throws IOException if the address cannot be bound; the message contains the address
      */
     public static ServerSocketChannel open(
-            InetSocketAddress address, int backlog, boolean shared, Selector selector)
+            InetSocketAddress address, int backlog, boolean reusePort, Selector selector)
             throws IOException {
         ServerSocketChannel server = ServerSocketChannel.open();
         try {
             server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-            server.setOption(StandardSocketOptions.SO_REUSEPORT, shared);
+            server.setOption(StandardSocketOptions.SO_REUSEPORT, reusePort);
             server.bind(address, backlog);
             server.configureBlocking(false);
             server.register(selector, SelectionKey.OP_ACCEPT);
--- a/src/main/java/cairnbridge/admin/ProxyMetrics.java
+++ b/src/main/java/cairnbridge/admin/ProxyMetrics.java
@@ -9,29 +9,32 @@
 import java.util.stream.Stream;
 
 /**
- * The metrics of a proxy, which any thread may count and read at any time. A request or an attempt
- * is counted where it really ends.
+ * The metrics of a proxy. The class is thread-safe. A request is counted when it has actually ended,
+ * and an attempt when it has actually been sent or rejected.
  */
 public final class ProxyMetrics {
-    /** How a request ended; the names are part of the metrics. */
+    /** The outcome of a request. The metric names contain the constants in lower case. */
     public enum RequestOutcome {
-        /** It was served. */
+        /** The request was served. */
         SUCCESS,
-        /** It was rejected and may be tried again. */
+        /** The request was rejected and may be retried. */
         BUSY,
-        /** It failed. */
+        /** The request failed permanently. */
         FAILURE
     }
 
-    /** Why an attempt that was decided did not begin; the names are part of the metrics. */
+    /**
+     * Why an attempt that the router requested was not sent. The metric names contain the constants
+     * in lower case.
+     */
     public enum AttemptRejection {
-        /** The client has closed or cancelled. */
+        /** The client closed the connection or cancelled the request. */
         CLIENT_GONE,
-        /** The request was answered meanwhile. */
+        /** The request has already been answered. */
         OP_OVER,
-        /** The node takes nothing new. */
+        /** The node accepts no new attempts. */
         NODE_CLOSED,
-        /** The deadline has passed. */
+        /** The latest start time of the attempt has passed. */
         TOO_LATE
     }
 
@@ -43,7 +46,7 @@
     private final Map<String, LongAdder[]> outcomesByName = new LinkedHashMap<>();
     private final LongAdder[][] outcomesByCategory;
     private final LongAdder requestsAccepted = new LongAdder();
-    private final LongAdder requestsOver = new LongAdder();
+    private final LongAdder requestsEnded = new LongAdder();
     private final LongAdder attempts = new LongAdder();
     private final LongAdder[] rejections =
             Stream.generate(LongAdder::new)
@@ -52,14 +55,14 @@
     private volatile int listedNodes;
     private volatile int avoidedNodes;
 
-    /** Metrics by name of the optional parts that are switched on. */
-    private volatile Supplier<Map<String, Long>> furtherMetrics = Map::of;
+    /** The metrics of optional features that are enabled, by name. */
+    private volatile Supplier<Map<String, Long>> additionalMetrics = Map::of;
 
     /**
-     * Metrics that are all 0.
+     * Creates metrics with all values 0.
      *
-     * @param categories the names of the categories, known by their place in this list; categories
-     *     of one name are counted together
+     * @param categories the names of the request categories; a category is identified by its index
+     *     in this list, and categories with the same name share their counters
      */
     public ProxyMetrics(List<String> categories) {
         for (String name : categories) {
@@ -75,58 +78,58 @@
         requestsAccepted.increment();
     }
 
-    /** Counts how a request of a category ended. */
+    /** Counts the outcome of a request, by category. */
     public void requestEnded(int category, RequestOutcome outcome) {
         outcomesByCategory[category][outcome.ordinal()].increment();
-        requestsOver.increment();
+        requestsEnded.increment();
     }
 
-    /** Counts a request whose client left before its answer; it has no outcome. */
+    /** Counts a request whose client disconnected before the answer; no outcome is counted. */
     public void clientLeft() {
-        requestsOver.increment();
+        requestsEnded.increment();
     }
 
-    /** Counts an attempt that has been written to its last byte. */
+    /** Counts an attempt whose request has been written completely. */
     public void attemptSent() {
         attempts.increment();
     }
 
-    /** Counts an attempt that was decided but may not begin any more. */
+    /** Counts an attempt that the router requested but that was not sent. */
     public void attemptRejected(AttemptRejection reason) {
         rejections[reason.ordinal()].increment();
     }
 
-    /** Notes how many nodes the endpoint list has. */
+    /** Sets the number of nodes in the endpoint list. */
     public void setListedNodes(int nodes) {
         listedNodes = nodes;
     }
 
-    /** Notes how many nodes get less than their share of the requests. */
+    /** Sets the number of nodes that receive less than their share of the requests. */
     public void setAvoidedNodes(int nodes) {
         avoidedNodes = nodes;
     }
 
-    /** Adds metrics by name; a name that ends in _total stands for a counter. */
+    /** Sets a source of further metrics; a name that ends in _total denotes a counter. */
     public void addMetrics(Supplier<Map<String, Long>> metrics) {
-        furtherMetrics = metrics;
+        additionalMetrics = metrics;
     }
 
-    /** One metric a line: its name, its value, and c for a counter or g for a gauge. */
+    /** Formats one metric per line: name, value, and c for a counter or g for a gauge. */
     public String format() {
         StringBuilder text = new StringBuilder(INITIAL_LENGTH);
         outcomesByName.forEach((name, counters) -> appendOutcomes(text, name, counters));
         append(text, "backend_calls", attempts.sum(), COUNTER);
-        // Read first: guards against a request that ends between the two sums and makes the gauge
-        // negative.
-        long over = requestsOver.sum();
-        append(text, "inflight", requestsAccepted.sum() - over, GAUGE);
+        // Read before requestsAccepted: guards against a negative gauge when a request is
+        // accepted and ends between the two reads.
+        long ended = requestsEnded.sum();
+        append(text, "inflight", requestsAccepted.sum() - ended, GAUGE);
         append(text, "hosts_listed", listedNodes, GAUGE);
         append(text, "hosts_down", avoidedNodes, GAUGE);
         for (AttemptRejection reason : AttemptRejection.values()) {
             String name = "attempts_refused." + lowerCase(reason);
             append(text, name, rejections[reason.ordinal()].sum(), COUNTER);
         }
-        furtherMetrics
+        additionalMetrics
                 .get()
                 .forEach(
                         (name, value) ->
--- a/src/main/java/cairnbridge/admin/package-info.java
+++ b/src/main/java/cairnbridge/admin/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The administration endpoint of a running proxy: readiness, metrics and the commands of operators,
- * one request line to a connection, on a thread of its own.
+ * The administration endpoint of a running proxy: readiness, metrics and operator commands. Each
+ * connection carries one request line; a dedicated thread serves them.
  */
 package cairnbridge.admin;
--- a/src/test/java/cairnbridge/admin/StatsFormatTest.java
+++ b/src/test/java/cairnbridge/admin/StatsFormatTest.java
@@ -7,26 +7,26 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The answer of the admin call stats keeps the form of an earlier version. */
+/** Guards against changes to the output format of the stats command, which tools parse. */
 class StatsFormatTest {
     @Test
-    void statsIsTheSameText() throws Exception {
-        ProxyMetrics figures = new ProxyMetrics(List.of("view", "loan"));
+    void formatMatchesTheFixture() throws Exception {
+        ProxyMetrics metrics = new ProxyMetrics(List.of("view", "loan"));
         for (int i = 0; i < 4; i++) {
-            figures.requestAccepted();
+            metrics.requestAccepted();
         }
-        figures.requestEnded(0, ProxyMetrics.RequestOutcome.SUCCESS);
-        figures.requestEnded(1, ProxyMetrics.RequestOutcome.BUSY);
-        figures.requestEnded(1, ProxyMetrics.RequestOutcome.FAILURE);
-        figures.attemptSent();
-        figures.attemptSent();
-        figures.setListedNodes(9);
-        figures.setAvoidedNodes(2);
+        metrics.requestEnded(0, ProxyMetrics.RequestOutcome.SUCCESS);
+        metrics.requestEnded(1, ProxyMetrics.RequestOutcome.BUSY);
+        metrics.requestEnded(1, ProxyMetrics.RequestOutcome.FAILURE);
+        metrics.attemptSent();
+        metrics.attemptSent();
+        metrics.setListedNodes(9);
+        metrics.setAvoidedNodes(2);
         for (ProxyMetrics.AttemptRejection reason : ProxyMetrics.AttemptRejection.values()) {
-            figures.attemptRejected(reason);
+            metrics.attemptRejected(reason);
         }
-        figures.addMetrics(() -> Map.of("further_total", 4L));
+        metrics.addMetrics(() -> Map.of("further_total", 4L));
 
-        assertEquals(Fixtures.text("stats.txt"), figures.format());
+        assertEquals(Fixtures.text("stats.txt"), metrics.format());
     }
 }
