--- a/src/main/java/cairnbridge/adapter/ActionWriter.java
+++ b/src/main/java/cairnbridge/adapter/ActionWriter.java
@@ -11,7 +11,7 @@
 import java.io.UncheckedIOException;
 import java.util.HexFormat;
 
-/** Writes the actions of one instance into the reply that is being built. */
+/** Writes the actions of one router instance to the reply of the current batch. */
 final class ActionWriter implements Host {
     private static final int ALL_PEERS = -1;
 
@@ -23,7 +23,7 @@
         this.instance = instance;
     }
 
-    /** Writes the values of an action. */
+    /** Writes the values that follow the action name and the instance id. */
     private interface Values {
         void write() throws IOException;
     }
@@ -40,57 +40,57 @@
         }
     }
 
-    /** Ticks as seconds, written exactly; formatting a double would take longer. */
+    /** Writes ticks as decimal seconds, without rounding and faster than formatting a double. */
     private void writeSeconds(long ticks) throws IOException {
         long positive = Math.max(0, ticks);
         long seconds = Ticks.toSeconds(positive);
-        // The leading 1 keeps the zeros behind it, and is cut off.
+        // Adding one second preserves the leading zeros; its digit 1 is cut off below.
         String fraction = Long.toString(Ticks.SECOND + positive % Ticks.SECOND);
         out.writeNumber(seconds + "." + fraction.substring(1));
     }
 
     @Override
-    public void sendAttempt(RequestId op, NodeId node, long timeOut, long latestBegin) {
+    public void sendAttempt(RequestId request, NodeId node, long timeout, long latestStart) {
         writeAction(
                 "ATTEMPT",
                 () -> {
-                    out.writeNumber(op.value());
+                    out.writeNumber(request.value());
                     out.writeNumber(node.value());
-                    writeSeconds(timeOut);
+                    writeSeconds(timeout);
                 });
     }
 
     @Override
-    public void cancelAttempt(RequestId op, int push) {
+    public void cancelAttempt(RequestId request, int attempt) {
         writeAction(
                 "ABORT_ATTEMPT",
                 () -> {
-                    out.writeNumber(op.value());
-                    out.writeNumber(push);
+                    out.writeNumber(request.value());
+                    out.writeNumber(attempt);
                 });
     }
 
     @Override
-    public void rejectRetryable(RequestId op, long retryAfter) {
+    public void rejectRetryable(RequestId request, long retryAfter) {
         writeAction(
                 "PUSH_BACK",
                 () -> {
-                    out.writeNumber(op.value());
+                    out.writeNumber(request.value());
                     writeSeconds(retryAfter);
                 });
     }
 
     @Override
-    public void failPermanently(RequestId op) {
-        writeAction("FAIL", () -> out.writeNumber(op.value()));
+    public void failPermanently(RequestId request) {
+        writeAction("FAIL", () -> out.writeNumber(request.value()));
     }
 
     @Override
-    public void startTimer(long in, TimerId timer) {
+    public void startTimer(long delay, TimerId timer) {
         writeAction(
                 "REMIND",
                 () -> {
-                    writeSeconds(in);
+                    writeSeconds(delay);
                     out.writeNumber(timer.value());
                 });
     }
@@ -121,8 +121,8 @@
     }
 
     @Override
-    public void avoidedNodeCountChanged(int nodes) {
-        // The wire has no message for it.
+    public void avoidedNodeCountChanged(int count) {
+        // The adapter protocol has no message for this count.
     }
 
     @Override
@@ -130,7 +130,7 @@
         writeAction("WRITE_LOG", () -> out.writeString(line));
     }
 
-    /** Reports that the instance has failed. */
+    /** Reports that the router of the instance has thrown an exception. */
     void internalError(String text) {
         writeAction("INTERNAL_ERROR", () -> out.writeString(text));
     }
--- a/src/main/java/cairnbridge/adapter/Adapter.java
+++ b/src/main/java/cairnbridge/adapter/Adapter.java
@@ -24,14 +24,19 @@
 import java.util.logging.Logger;
 
 /**
- * Speaks the JSON wire of the bench: one batch of events a line in, one reply a line out, one
- * router an instance. It runs on the caller's thread.
+ * Runs routers for the bench over a JSON protocol: each input line is a batch of events and is
+ * answered by one output line. Each instance has its own router. All work is done on the caller's
+ * thread.
  */
 public final class Adapter {
     private static final Logger LOG = Logger.getLogger(Adapter.class.getName());
     private static final int OUTPUT_BUFFER_BYTES = 1 << 16;
 
-    /** One hosted instance; nothing in it is shared with another. */
+    /**
+     * A hosted router instance; instances share no state.
+     *
+     * @param reportWidth the number of values in a load report
+     */
     private record Instance(Router router, ActionWriter actions, int reportWidth) {}
 
     private final JsonParser parser;
@@ -41,10 +46,10 @@
     private final EventDecoder decoder;
     private final Map<Integer, Instance> instances = new HashMap<>();
 
-    /** The time of the batch, in ticks. */
+    /** The clock time of the current batch, in ticks. */
     private long now;
 
-    /** Reads batches from one stream and writes replies to the other. */
+    /** Creates an adapter that reads batches from {@code in} and writes replies to {@code out}. */
     public Adapter(InputStream in, OutputStream out) throws IOException {
         JsonFactory factory = new JsonFactory();
         this.parser = factory.createParser(in);
@@ -56,9 +61,9 @@
     }
 
     /**
-     * Answers batches until the input ends.
+     * Answers batches until the end of the input.
      *
-     * @throws MalformedInputException if the input does not keep to the wire
+     * @throws MalformedInputException if the input violates the protocol
      */
     public void run() throws IOException {
         try {
@@ -161,7 +166,7 @@
         try {
             instance.router.handle(now, event);
         } catch (RuntimeException e) {
-            // Any fault of the module is reported in the reply, and the other instances go on.
+            // An exception in one router is reported in the reply; the other instances continue.
             LOG.log(Level.SEVERE, e, () -> "instance " + id + " failed on " + event);
             instance.actions.internalError(e.getClass().getSimpleName() + ": " + e.getMessage());
         }
--- a/src/main/java/cairnbridge/adapter/EndpointTables.java
+++ b/src/main/java/cairnbridge/adapter/EndpointTables.java
@@ -15,42 +15,42 @@
 import java.util.Collections;
 import java.util.List;
 
-/** The numbered endpoint lists of the wire: sent once, then referred to by all instances. */
+/** The numbered endpoint lists of the protocol, each sent once and referenced by all instances. */
 final class EndpointTables {
-    private static final int TABLES = 16;
+    private static final int TABLE_COUNT = 16;
 
     private final MessageReader reader;
     private final List<List<Endpoint>> tables =
-            new ArrayList<>(Collections.nCopies(TABLES, List.of()));
+            new ArrayList<>(Collections.nCopies(TABLE_COUNT, List.of()));
 
     /**
-     * Empty tables.
+     * Creates empty tables.
      *
-     * @param reader stands at the values of a message
+     * @param reader positioned at the first value when {@link #replace} is called
      */
     EndpointTables(MessageReader reader) {
         this.reader = reader;
     }
 
-    /** The entries that a list of some scope refers to; a failed list has none. */
+    /** The entries of a table; none if the scope is FAILED, whatever the table number. */
     List<Endpoint> entries(ListScope scope, int table) {
         if (scope == ListScope.FAILED) {
             return List.of();
         }
-        if (!exists(table)) {
+        if (!isValidTable(table)) {
             throw reader.malformed("scope or table is out of range");
         }
         return tables.get(table);
     }
 
-    private static boolean exists(int table) {
-        return table >= 0 && table < TABLES;
+    private static boolean isValidTable(int table) {
+        return table >= 0 && table < TABLE_COUNT;
     }
 
-    /** Reads a message that replaces a table. */
+    /** Reads a POOL message, which replaces a table. */
     void replace() throws IOException {
         int table = (int) reader.integer("table");
-        if (!exists(table) || reader.nextValue() != JsonToken.START_ARRAY) {
+        if (!isValidTable(table) || reader.nextValue() != JsonToken.START_ARRAY) {
             throw reader.malformed("POOL needs a table from 0 to 15 and its rows");
         }
         List<Endpoint> entries = new ArrayList<>();
@@ -67,17 +67,17 @@
         NodeState state = state((int) reader.integer("stage-state"));
         MachineKind kind = new MachineKind((int) reader.integer("sku", 0));
         double size = reader.number("power-hint", 1);
-        long started = toTicks(reader.number("ready-at-s", 0));
+        long startedAt = toTicks(reader.number("ready-at-s", 0));
         NodeId node = new NodeId(reader.integer("node"));
         ZoneId zone = new ZoneId((int) reader.integer("dc", 0));
-        return new Endpoint(node, state, kind, size, started, cell, zone);
+        return new Endpoint(node, state, kind, size, startedAt, cell, zone);
     }
 
-    private NodeState state(int number) {
+    private NodeState state(int ordinal) {
         NodeState[] states = NodeState.values();
-        if (number < 0 || number >= states.length) {
+        if (ordinal < 0 || ordinal >= states.length) {
             throw reader.malformed("stage-state is out of range");
         }
-        return states[number];
+        return states[ordinal];
     }
 }
--- a/src/main/java/cairnbridge/adapter/EventDecoder.java
+++ b/src/main/java/cairnbridge/adapter/EventDecoder.java
@@ -16,7 +16,8 @@
 import java.util.HexFormat;
 
 /**
- * Decodes the messages that are events of an instance. The order of reads is that of the values.
+ * Decodes the messages that become router events. Values are positional: each method must read them
+ * in the order of the protocol.
  */
 final class EventDecoder {
     private static final int HEX_RADIX = 16;
@@ -27,10 +28,10 @@
     private final EndpointTables tables;
 
     /**
-     * A decoder.
+     * Creates a decoder.
      *
-     * @param reader stands at the values of a message
-     * @param tables the endpoint lists that messages refer to
+     * @param reader positioned at the first value when {@link #decode} is called
+     * @param tables the endpoint lists that MEMBERSHIP messages refer to
      */
     EventDecoder(MessageReader reader, EndpointTables tables) {
         this.reader = reader;
@@ -38,10 +39,10 @@
     }
 
     /**
-     * Decodes an event.
+     * Decodes the values of a message into an event.
      *
      * @param message the name of the message
-     * @param reportWidth how many numbers a load report of the instance has
+     * @param reportWidth the number of values in a load report of the instance
      */
     Event decode(String message, int reportWidth) throws IOException {
         return switch (message) {
@@ -49,9 +50,9 @@
             case "FINISHED" -> attemptEnded(reportWidth);
             case "WAKEUP" -> new Event.TimerFired(new TimerId(reader.integer("key-back")));
             case "GONE" -> new Event.RequestCancelled(new RequestId(reader.integer("rid")));
-            case "STREAMING" -> streamBegan();
+            case "STREAMING" -> streamingStarted();
             case "MEMBERSHIP" -> endpointList();
-            case "PING_RESULT" -> probeEnded(reportWidth);
+            case "PING_RESULT" -> healthCheckEnded(reportWidth);
             case "NEIGHBOUR_SAYS" -> peerMessage();
             default -> throw reader.malformed("unknown message " + message);
         };
@@ -62,13 +63,13 @@
         CategoryId category = new CategoryId((int) reader.integer("kind"));
         TenantId tenant = new TenantId((int) reader.integer("user-group", 0));
         KeyId key = reader.optionalText("target-key").map(this::key).orElse(null);
-        long expires = toTicks(reader.number("expires-s"));
+        long deadline = toTicks(reader.number("expires-s"));
         long work = toTicks(reader.number("work-s", 0));
         long size = reader.integer("size", UNKNOWN_SIZE);
-        boolean repeat = reader.flag("repeat");
-        boolean write = reader.flag("is-write");
+        boolean clientRetry = reader.flag("repeat");
+        boolean isWrite = reader.flag("is-write");
         return new Event.RequestArrived(
-                request, category, tenant, key, expires, work, size, repeat, write);
+                request, category, tenant, key, deadline, work, size, clientRetry, isWrite);
     }
 
     private KeyId key(String digits) {
@@ -77,28 +78,29 @@
                 return new KeyId(Long.parseUnsignedLong(digits, HEX_RADIX));
             }
         } catch (NumberFormatException e) {
-            throw badKey();
+            throw malformedKey();
         }
-        throw badKey();
+        throw malformedKey();
     }
 
-    private MalformedInputException badKey() {
+    private MalformedInputException malformedKey() {
         return reader.malformed("target-key is not a key of " + MAX_KEY_DIGITS + " hex digits");
     }
 
     private Event attemptEnded(int reportWidth) throws IOException {
         RequestId request = new RequestId(reader.integer("rid"));
-        int detail = (int) reader.integer("detail", 0);
-        AttemptOutcome ending = ending(reader.text("reason"));
+        int cacheStatus = (int) reader.integer("detail", 0);
+        AttemptOutcome outcome = outcome(reader.text("reason"));
         int attempt = (int) reader.integer("round-no");
-        boolean last = reader.flag("no-more");
+        boolean requestOver = reader.flag("no-more");
         NodeId node = new NodeId(reader.integer("node"));
-        long took = toTicks(reader.number("rtt-s", 0));
+        long duration = toTicks(reader.number("rtt-s", 0));
         double[] report = reader.numbers("usage", reportWidth);
-        return new Event.AttemptEnded(request, attempt, node, ending, detail, took, last, report);
+        return new Event.AttemptEnded(
+                request, attempt, node, outcome, cacheStatus, duration, requestOver, report);
     }
 
-    private AttemptOutcome ending(String code) {
+    private AttemptOutcome outcome(String code) {
         return switch (code) {
             case "S" -> AttemptOutcome.SUCCESS;
             case "E" -> AttemptOutcome.ERROR;
@@ -113,20 +115,20 @@
         };
     }
 
-    private Event streamBegan() throws IOException {
+    private Event streamingStarted() throws IOException {
         RequestId request = new RequestId(reader.integer("rid"));
         NodeId node = new NodeId(reader.integer("node"));
-        long took = toTicks(reader.number("rtt-s"));
+        long elapsed = toTicks(reader.number("rtt-s"));
         int attempt = (int) reader.integer("round-no");
-        return new Event.StreamingStarted(request, attempt, node, took);
+        return new Event.StreamingStarted(request, attempt, node, elapsed);
     }
 
-    private Event probeEnded(int reportWidth) throws IOException {
-        long took = toTicks(reader.number("rtt-s"));
-        AttemptOutcome ending = ending(reader.text("reason"));
+    private Event healthCheckEnded(int reportWidth) throws IOException {
+        long duration = toTicks(reader.number("rtt-s"));
+        AttemptOutcome outcome = outcome(reader.text("reason"));
         NodeId node = new NodeId(reader.integer("node"));
         double[] report = reader.numbers("usage", reportWidth);
-        return new Event.HealthCheckEnded(node, ending, took, report);
+        return new Event.HealthCheckEnded(node, outcome, duration, report);
     }
 
     private Event peerMessage() throws IOException {
--- a/src/main/java/cairnbridge/adapter/MalformedInputException.java
+++ b/src/main/java/cairnbridge/adapter/MalformedInputException.java
@@ -1,10 +1,10 @@
 package cairnbridge.adapter;
 
-/** Input that does not keep to the wire. The message names the line and what is wrong. */
+/** Input that violates the adapter protocol. The message contains the line and the problem. */
 public final class MalformedInputException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    /** A fault in a line of the input, which counts from 1. */
+    /** Creates the exception for a problem in a line of the input; the first line is 1. */
     public MalformedInputException(long line, String problem) {
         super("line " + line + ": " + problem);
     }
--- a/src/main/java/cairnbridge/adapter/MessageReader.java
+++ b/src/main/java/cairnbridge/adapter/MessageReader.java
@@ -7,49 +7,52 @@
 import java.util.Optional;
 
 /**
- * Reads the positional values of one message. A value that is null or left out takes its default;
- * values beyond those that are read are skipped, as a newer wire may append some.
+ * Reads the positional values of a message. A value that is null or missing has its default. Extra
+ * values at the end are skipped, because a newer protocol version may append some.
  */
 final class MessageReader {
     private final JsonParser parser;
 
-    /** Whether the closing bracket of the current message has been read. */
-    private boolean ended;
+    /** Whether the closing bracket of the current array has been read. */
+    private boolean arrayEnded;
 
     MessageReader(JsonParser parser) {
         this.parser = parser;
     }
 
-    /** The exception for input that does not keep to the wire, at the current line. */
+    /** Creates the exception for input that violates the protocol, at the current line. */
     MalformedInputException malformed(String problem) {
         return new MalformedInputException(parser.currentLocation().getLineNr(), problem);
     }
 
-    /** Steps into the array whose opening bracket is the current token. */
+    /** Starts reading an array; the current token must be its opening bracket. */
     void beginArray() {
         if (parser.currentToken() != JsonToken.START_ARRAY) {
             throw malformed("an array was expected");
         }
-        ended = false;
+        arrayEnded = false;
     }
 
-    /** Skips what is left of the array, up to the closing bracket. */
+    /** Skips the remaining values of the array, including the closing bracket. */
     void endArray() throws IOException {
-        while (!ended) {
+        while (!arrayEnded) {
             nextValue();
             parser.skipChildren();
         }
-        ended = false;
+        arrayEnded = false;
     }
 
-    /** Steps to the next row of a table, whose opening bracket is then the current token. */
+    /**
+     * Advances to the next row of a table. Returns false at the end of the table; otherwise the
+     * current token is the first token of the row.
+     */
     boolean hasNextRow() throws IOException {
         return parser.nextToken() != JsonToken.END_ARRAY;
     }
 
-    /** The token of the next value; null if the value is null or the array has ended. */
+    /** Reads the next value; returns null if the value is null or the array has ended. */
     JsonToken nextValue() throws IOException {
-        if (ended) {
+        if (arrayEnded) {
             return null;
         }
         JsonToken token = parser.nextToken();
@@ -57,13 +60,13 @@
             throw malformed("the input ends inside a message");
         }
         if (token == JsonToken.END_ARRAY) {
-            ended = true;
+            arrayEnded = true;
             return null;
         }
         return token == JsonToken.VALUE_NULL ? null : token;
     }
 
-    /** An integer that has to be there. */
+    /** Reads a required integer; a fractional number is truncated. */
     long integer(String name) throws IOException {
         JsonToken token = nextValue();
         if (token == null) {
@@ -87,7 +90,7 @@
         throw malformed(name + " is not a number");
     }
 
-    /** A number that has to be there. */
+    /** Reads a required number. */
     double number(String name) throws IOException {
         double value = number(name, Double.NaN);
         if (Double.isNaN(value)) {
@@ -107,7 +110,7 @@
         return parser.getDoubleValue();
     }
 
-    /** A boolean, false if absent. */
+    /** Reads an optional boolean; false if absent. */
     boolean flag(String name) throws IOException {
         JsonToken token = nextValue();
         if (token == null) {
@@ -119,7 +122,7 @@
         return token == JsonToken.VALUE_TRUE;
     }
 
-    /** A text that has to be there. */
+    /** Reads a required string. */
     String text(String name) throws IOException {
         return optionalText(name).orElseThrow(() -> malformed(name + " is missing"));
     }
@@ -136,10 +139,10 @@
     }
 
     /**
-     * A row of numbers. What is no number counts as 0, and so does what is left out.
+     * Reads an array of numbers. Elements that are not numbers count as 0, as do missing ones.
      *
-     * @param width how many numbers to return
-     * @return null if absent, as {@link cairnbridge.decision.Event} takes it
+     * @param width the length of the returned array; further elements are skipped
+     * @return null if the array is absent, as {@link cairnbridge.decision.Event} expects
      */
     double[] numbers(String name, int width) throws IOException {
         JsonToken token = nextValue();
@@ -164,7 +167,7 @@
         return values;
     }
 
-    /** An object that has to be there. */
+    /** Reads a required object. */
     JsonObject object(String name) throws IOException {
         JsonToken token = nextValue();
         if (token != JsonToken.START_OBJECT) {
--- a/src/main/java/cairnbridge/adapter/package-info.java
+++ b/src/main/java/cairnbridge/adapter/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The JSON adapter: batches of events on standard input, the decisions of one router per instance
- * on standard output. It holds no decisions of its own.
+ * The JSON adapter: reads batches of events from standard input, passes them to one router per
+ * instance and writes the routers' actions to standard output. It contains no routing logic.
  */
 package cairnbridge.adapter;
--- a/src/test/java/cairnbridge/adapter/AdapterSessionTest.java
+++ b/src/test/java/cairnbridge/adapter/AdapterSessionTest.java
@@ -9,10 +9,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A recorded session with the adapter: the same events give the same replies, to the byte. */
+/** Replays a recorded adapter session; each reply must equal the recorded line exactly. */
 class AdapterSessionTest {
     @Test
-    void theSameEventsGiveTheSameReplies() throws Exception {
+    void recordedEventsProduceTheRecordedReplies() throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
 
         new Adapter(new ByteArrayInputStream(Fixtures.bytes("adapter/events.jsonl")), out).run();
--- a/src/test/java/cairnbridge/adapter/AdapterTest.java
+++ b/src/test/java/cairnbridge/adapter/AdapterTest.java
@@ -12,26 +12,26 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The adapter's replies to batches and to bad input. */
+/** The adapter's replies to batches and its errors on malformed input. */
 class AdapterTest {
     private static final String START =
             "{\"clock-s\":10.0,\"events\":[[\"START\",3,42,{\"categories\":[{\"effect\":"
                     + "\"repeatable\",\"ttl-s\":1}],\"limits\":{\"most-pushes\":2},\"new\":[1]}],"
                     + "[\"POOL\",0,[[0,1,0,1,null,77,0]]],[\"MEMBERSHIP\",3,0,1,0]]}\n";
 
-    private static String answer(String input) throws Exception {
+    private static String run(String input) throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         new Adapter(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out).run();
         return out.toString(StandardCharsets.UTF_8);
     }
 
     @Test
-    void anOpIsSentAndAnEmptyBatchAnsweredEmpty() throws Exception {
-        String order =
+    void aRequestIsSentAndAnEmptyBatchGetsAnEmptyReply() throws Exception {
+        String request =
                 "{\"clock-s\":10.00525,\"events\":[[\"ORDER\",3,2025963407446468,0,0,"
                         + "\"91f03b7c55d20a64\",10.5]]}\n";
         List<String> lines =
-                answer("{\"clock-s\":9,\"events\":[]}\n" + START + order).lines().toList();
+                run("{\"clock-s\":9,\"events\":[]}\n" + START + request).lines().toList();
         assertEquals("{\"do\":[]}", lines.get(0));
         assertTrue(lines.get(2).contains("[\"ATTEMPT\",3,2025963407446468,77,"), lines.get(2));
     }
@@ -45,9 +45,9 @@
                 "{\"registry-mode\":\"subscribe\",\"tenants\":[{}],"
                         + "\"rules\":{\"cold-from\":0,\"warm-up-s\":99}}"
             })
-    void oddSettingsGiveAnAnswerAndNoFault(String params) throws Exception {
+    void unusualSettingsCauseNoInternalError(String params) throws Exception {
         String reply =
-                answer(
+                run(
                         "{\"clock-s\":1,\"events\":[[\"START\",0,1,"
                                 + params
                                 + "],[\"POOL\",0,[]],[\"MEMBERSHIP\",0,0,1,0],"
@@ -67,11 +67,11 @@
                 "[1] | a batch must be an object",
                 "{\"clock-s\":1,\"events\":[ | not valid JSON"
             })
-    void malformedInputNamesTheLineAndTheFault(String line, String fault) {
+    void malformedInputIsReportedWithLineAndProblem(String line, String problem) {
         MalformedInputException e =
-                assertThrows(MalformedInputException.class, () -> answer(START + line + "\n"));
+                assertThrows(MalformedInputException.class, () -> run(START + line + "\n"));
         assertTrue(e.getMessage().matches("(?s)line [23]: .*"), e.getMessage());
-        assertTrue(e.getMessage().contains(fault), e.getMessage());
+        assertTrue(e.getMessage().contains(problem), e.getMessage());
         assertEquals(1, e.getMessage().lines().count());
     }
 }
