--- a/src/main/java/cairnbridge/admin/AdminCommands.java
+++ b/src/main/java/cairnbridge/admin/AdminCommands.java
@@ -12,7 +12,9 @@
     private static final String ERROR = "400 ";
     private static final String END_OF_REPORT = "EOF";
 
-    /** Guards against a client that waits without an answer while another thread is overloaded. */
+    /**
+     * Guards against a client that waits without an answer while the executing thread is behind.
+     */
     private static final long TIMEOUT_MILLIS = 800;
 
     private final AdminOperations operations;
@@ -42,7 +44,10 @@
             case "members", "members-json" ->
                     completed(operations.fleetStatus(command, argument).orElse(error("no fleet")));
             case "member" ->
-                    completed(operations.fleetStatus(command, argument).orElse(error("no such member")));
+                    completed(
+                            operations
+                                    .fleetStatus(command, argument)
+                                    .orElse(error("no such member")));
             case "recovery" -> completed(recovery());
             case "zones", "zone-drain", "zone-restore" -> zones(request);
             default -> completed(error("no such call"));
--- a/src/main/java/cairnbridge/admin/AdminConnection.java
+++ b/src/main/java/cairnbridge/admin/AdminConnection.java
@@ -35,7 +35,8 @@
     /**
      * Creates the handler of an accepted connection.
      *
-     * @param answeredElsewhere called on any thread when the answer of an asynchronous command is set
+     * @param answeredElsewhere called on any thread when the answer of an asynchronous command is
+     *     set
      * @param closed called before the channel is closed
      */
     AdminConnection(
--- a/src/main/java/cairnbridge/admin/ProxyMetrics.java
+++ b/src/main/java/cairnbridge/admin/ProxyMetrics.java
@@ -9,8 +9,8 @@
 import java.util.stream.Stream;
 
 /**
- * The metrics of a proxy. The class is thread-safe. A request is counted when it has actually ended,
- * and an attempt when it has actually been sent or rejected.
+ * The metrics of a proxy. The class is thread-safe. A request is counted when it has actually
+ * ended, and an attempt when it has actually been sent or rejected.
  */
 public final class ProxyMetrics {
     /** The outcome of a request. The metric names contain the constants in lower case. */
--- a/src/test/java/cairnbridge/ArchitectureTest.java
+++ b/src/test/java/cairnbridge/ArchitectureTest.java
@@ -15,11 +15,11 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** The direction between packages, as docs/architecture.md draws it. */
+/** Checks the dependencies between packages that docs/architecture.md describes. */
 class ArchitectureTest {
     private static final String ROOT = "cairnbridge.";
 
-    /** From the bottom up; a package may use its own layer and those before it. */
+    /** The layers, lowest first. A package may depend on its own layer and on lower ones. */
     private static final List<List<String>> LAYERS =
             List.of(
                     List.of("hash", "time", "cbor", "simulation"),
@@ -48,9 +48,9 @@
                     .importPackages("cairnbridge");
 
     @Test
-    void everyPackageStandsInOneLayer() {
+    void everyPackageIsAssignedToALayer() {
         TreeSet<String> found = new TreeSet<>();
-        CLASSES.forEach(each -> found.add(packageOf(each)));
+        CLASSES.forEach(type -> found.add(packageOf(type)));
 
         TreeSet<String> listed = new TreeSet<>();
         LAYERS.forEach(listed::addAll);
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void noPackageUsesALayerAboveItsOwn() {
+    void noPackageDependsOnAHigherLayer() {
         Map<String, Integer> layers = new HashMap<>();
         for (int layer = 0; layer < LAYERS.size(); layer++) {
             for (String name : LAYERS.get(layer)) {
@@ -67,20 +67,20 @@
             }
         }
 
-        TreeSet<String> upward = new TreeSet<>();
-        for (JavaClass user : CLASSES) {
-            for (JavaClass used : usedBy(user)) {
-                if (layers.get(packageOf(used)) > layers.get(packageOf(user))) {
-                    upward.add(user.getName() + " uses " + used.getName());
+        TreeSet<String> violations = new TreeSet<>();
+        for (JavaClass dependent : CLASSES) {
+            for (JavaClass used : dependenciesOf(dependent)) {
+                if (layers.get(packageOf(used)) > layers.get(packageOf(dependent))) {
+                    violations.add(dependent.getName() + " uses " + used.getName());
                 }
             }
         }
 
-        assertTrue(upward.isEmpty(), () -> String.join("\n", upward));
+        assertTrue(violations.isEmpty(), () -> String.join("\n", violations));
     }
 
-    private static List<JavaClass> usedBy(JavaClass user) {
-        return user.getDirectDependenciesFromSelf().stream()
+    private static List<JavaClass> dependenciesOf(JavaClass dependent) {
+        return dependent.getDirectDependenciesFromSelf().stream()
                 .map(dependency -> dependency.getTargetClass().getBaseComponentType())
                 .filter(used -> used.getPackageName().startsWith(ROOT))
                 .toList();
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void decisionsDoNoIo() {
+    void decisionPackagesDoNotUseIoOrThreads() {
         noClasses()
                 .that()
                 .resideInAnyPackage(
--- a/src/test/java/cairnbridge/CheckTestsScriptTest.java
+++ b/src/test/java/cairnbridge/CheckTestsScriptTest.java
@@ -11,15 +11,15 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The script that judges CI's test reports, on reports made here. */
+/** Runs .ci/check-tests, which evaluates the Surefire reports in CI, on generated reports. */
 @Timeout(60)
 class CheckTestsScriptTest {
     private static final String ENTRY = "a.LeaseTest.expires | mvn test, seed 7 | late | issue 4\n";
 
     @TempDir Path project;
 
-    /** What the script printed, and its exit status. */
-    private record Verdict(int status, String output) {}
+    /** The exit status of the script and its output. */
+    private record ScriptResult(int status, String output) {}
 
     @BeforeEach
     void copyScript() throws IOException {
@@ -30,11 +30,11 @@
         Files.createFile(project.resolve("target/test-classes/a/LeaseTest.class"));
     }
 
-    private static String passed(String name) {
+    private static String passedTestCase(String name) {
         return "  <testcase name=\"" + name + "\" classname=\"a.LeaseTest\" time=\"0.1\"/>\n";
     }
 
-    private static String notPassed(String name, String element) {
+    private static String failedTestCase(String name, String element) {
         return "  <testcase name=\""
                 + name
                 + "\" classname=\"a.LeaseTest\" time=\"0.1\">\n    <"
@@ -44,130 +44,131 @@
                 + ">\n  </testcase>\n";
     }
 
-    private void report(String testCases) throws IOException {
+    private void writeReport(String testCases) throws IOException {
         Files.writeString(
                 project.resolve("target/surefire-reports/TEST-a.LeaseTest.xml"),
                 "<testsuite name=\"a.LeaseTest\">\n" + testCases + "</testsuite>\n");
     }
 
-    private void listKnownRed(String text) throws IOException {
+    private void writeKnownRedList(String text) throws IOException {
         Files.writeString(project.resolve("KNOWN-RED.txt"), text);
     }
 
-    private Verdict check() throws Exception {
+    private ScriptResult runScript() throws Exception {
         Process script =
                 new ProcessBuilder("bash", project.resolve(".ci/check-tests").toString())
                         .redirectErrorStream(true)
                         .start();
         String output = new String(script.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        return new Verdict(script.waitFor(), output);
+        return new ScriptResult(script.waitFor(), output);
     }
 
     @Test
-    void testsThatPassPass() throws Exception {
-        report(passed("expires") + passed("renews"));
+    void passingTestsAreAccepted() throws Exception {
+        writeReport(passedTestCase("expires") + passedTestCase("renews"));
 
-        assertEquals(new Verdict(0, ""), check());
+        assertEquals(new ScriptResult(0, ""), runScript());
     }
 
     @Test
-    void aListedTestMayFailAndIsPrinted() throws Exception {
-        report(notPassed("expires(int)[1]", "failure") + passed("renews"));
-        listKnownRed(ENTRY);
+    void aFailingListedTestIsAcceptedAndPrinted() throws Exception {
+        writeReport(failedTestCase("expires(int)[1]", "failure") + passedTestCase("renews"));
+        writeKnownRedList(ENTRY);
 
-        assertEquals(new Verdict(0, "known red, failed: " + ENTRY), check());
+        assertEquals(new ScriptResult(0, "known red, failed: " + ENTRY), runScript());
     }
 
     @Test
-    void theListIsPrintedWhereItsTestsPassed() throws Exception {
-        report(passed("expires"));
-        listKnownRed(ENTRY);
+    void aPassingListedTestIsPrinted() throws Exception {
+        writeReport(passedTestCase("expires"));
+        writeKnownRedList(ENTRY);
 
-        assertEquals(new Verdict(0, "known red, passed: " + ENTRY), check());
+        assertEquals(new ScriptResult(0, "known red, passed: " + ENTRY), runScript());
     }
 
     @Test
-    void aTestThatIsNotListedFails() throws Exception {
-        report(passed("expires") + notPassed("renews", "error"));
-        listKnownRed(ENTRY);
+    void aFailingUnlistedTestIsRejected() throws Exception {
+        writeReport(passedTestCase("expires") + failedTestCase("renews", "error"));
+        writeKnownRedList(ENTRY);
 
         assertEquals(
-                new Verdict(1, "known red, passed: " + ENTRY + "failed: a.LeaseTest.renews\n"),
-                check());
+                new ScriptResult(1, "known red, passed: " + ENTRY + "failed: a.LeaseTest.renews\n"),
+                runScript());
     }
 
-    /** Guards against an entry that covers every test whose name it begins or ends with. */
+    /** Guards against an entry that also matches tests whose names merely contain its name. */
     @Test
-    void anEntryCoversItsWholeNameOnly() throws Exception {
-        report(passed("expires") + notPassed("expiresTwice", "failure"));
-        listKnownRed(ENTRY);
+    void anEntryMatchesTheFullTestNameOnly() throws Exception {
+        writeReport(passedTestCase("expires") + failedTestCase("expiresTwice", "failure"));
+        writeKnownRedList(ENTRY);
 
-        Verdict verdict = check();
+        ScriptResult result = runScript();
 
-        assertEquals(1, verdict.status());
+        assertEquals(1, result.status());
         assertEquals(
                 "known red, passed: " + ENTRY + "failed: a.LeaseTest.expiresTwice\n",
-                verdict.output());
+                result.output());
     }
 
     @Test
-    void anErrorInAClassesSetUpFails() throws Exception {
-        report(notPassed("", "error"));
+    void anErrorInTheSetUpOfAClassIsRejected() throws Exception {
+        writeReport(failedTestCase("", "error"));
 
-        assertEquals(new Verdict(1, "failed: a.LeaseTest.\n"), check());
+        assertEquals(new ScriptResult(1, "failed: a.LeaseTest.\n"), runScript());
     }
 
     @Test
-    void aMissingReportFails() throws Exception {
-        report(passed("expires"));
+    void aMissingReportIsRejected() throws Exception {
+        writeReport(passedTestCase("expires"));
         Files.createFile(project.resolve("target/test-classes/a/QuorumTest.class"));
 
-        assertEquals(new Verdict(1, "no report of a.QuorumTest\n"), check());
+        assertEquals(new ScriptResult(1, "no report of a.QuorumTest\n"), runScript());
     }
 
     @Test
-    void noTestAtAllFails() throws Exception {
-        assertEquals(new Verdict(1, "no test ran\n"), check());
+    void aRunWithoutTestsIsRejected() throws Exception {
+        assertEquals(new ScriptResult(1, "no test ran\n"), runScript());
 
-        report("");
+        writeReport("");
 
-        assertEquals(new Verdict(1, "no test ran\n"), check());
+        assertEquals(new ScriptResult(1, "no test ran\n"), runScript());
     }
 
     @Test
-    void anEntryThatLacksAPartFails() throws Exception {
-        report(passed("expires"));
+    void anEntryWithAMissingPartIsRejected() throws Exception {
+        writeReport(passedTestCase("expires"));
         String entry = "a.LeaseTest.expires | mvn test, seed 7 | issue 4";
-        listKnownRed(entry + "\n");
+        writeKnownRedList(entry + "\n");
 
-        assertEquals(new Verdict(1, "KNOWN-RED.txt: not four parts: " + entry + "\n"), check());
+        assertEquals(
+                new ScriptResult(1, "KNOWN-RED.txt: not four parts: " + entry + "\n"), runScript());
     }
 
     @Test
-    void anEntryOfNoTestFails() throws Exception {
-        report(passed("renews"));
-        listKnownRed(ENTRY);
+    void anEntryForAnUnknownTestIsRejected() throws Exception {
+        writeReport(passedTestCase("renews"));
+        writeKnownRedList(ENTRY);
 
         assertEquals(
-                new Verdict(
+                new ScriptResult(
                         1,
                         "KNOWN-RED.txt: no such test: a.LeaseTest.expires\nknown red, passed: "
                                 + ENTRY),
-                check());
+                runScript());
     }
 
     @Test
-    void twoEntriesOfOneTestFail() throws Exception {
-        report(passed("expires"));
-        listKnownRed(ENTRY + ENTRY);
+    void duplicateEntriesAreRejected() throws Exception {
+        writeReport(passedTestCase("expires"));
+        writeKnownRedList(ENTRY + ENTRY);
 
         assertEquals(
-                new Verdict(
+                new ScriptResult(
                         1,
                         "known red, passed: "
                                 + ENTRY
                                 + "KNOWN-RED.txt: twice: a.LeaseTest.expires\nknown red, passed: "
                                 + ENTRY),
-                check());
+                runScript());
     }
 }
--- a/src/test/java/cairnbridge/Fixtures.java
+++ b/src/test/java/cairnbridge/Fixtures.java
@@ -6,11 +6,13 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Reads the files under {@code fixtures}, which an earlier version of the program has written. */
+/**
+ * Reads the files under {@code fixtures}, which were written by an earlier version of cairnbridge.
+ */
 public final class Fixtures {
     private Fixtures() {}
 
-    /** The bytes of a fixture, named by its path below {@code fixtures}. */
+    /** Reads a fixture as bytes; the name is its path below {@code fixtures}. */
     public static byte[] bytes(String name) throws IOException {
         try (InputStream in = Fixtures.class.getResourceAsStream("/fixtures/" + name)) {
             if (in == null) {
@@ -20,15 +22,15 @@
         }
     }
 
-    /** The text of a fixture, which is UTF-8. */
+    /** Reads a fixture as UTF-8 text. */
     public static String text(String name) throws IOException {
         return new String(bytes(name), StandardCharsets.UTF_8);
     }
 
-    /** Copies fixtures of one folder into a folder of the test. */
-    public static void copy(String fixtureFolder, Path to, String... names) throws IOException {
+    /** Copies the named fixtures from a fixture folder to a folder of the test. */
+    public static void copy(String fixtureFolder, Path target, String... names) throws IOException {
         for (String name : names) {
-            Files.write(to.resolve(name), bytes(fixtureFolder + "/" + name));
+            Files.write(target.resolve(name), bytes(fixtureFolder + "/" + name));
         }
     }
 }
