--- a/src/main/java/cairnbridge/adapter/ActionWriter.java
+++ b/src/main/java/cairnbridge/adapter/ActionWriter.java
@@ -44,7 +44,8 @@
     private void writeSeconds(long ticks) throws IOException {
         long positive = Math.max(0, ticks);
         long seconds = Ticks.toSeconds(positive);
-        // Adding one second preserves the leading zeros; its digit 1 is cut off below.
+        // Adding one second keeps the leading zeros of the fraction; the first digit, 1, is
+        // dropped.
         String fraction = Long.toString(Ticks.SECOND + positive % Ticks.SECOND);
         out.writeNumber(seconds + "." + fraction.substring(1));
     }
--- a/src/main/java/cairnbridge/adapter/Adapter.java
+++ b/src/main/java/cairnbridge/adapter/Adapter.java
@@ -24,9 +24,9 @@
 import java.util.logging.Logger;
 
 /**
- * Runs routers for the bench over a JSON protocol: each input line is a batch of events and is
- * answered by one output line. Each instance has its own router. All work is done on the caller's
- * thread.
+ * Runs routers for an external test bench over a JSON protocol: each input line is a batch of
+ * events and is answered by one output line. Each instance has its own router. All work is done on
+ * the caller's thread.
  */
 public final class Adapter {
     private static final Logger LOG = Logger.getLogger(Adapter.class.getName());
--- a/src/main/java/cairnbridge/admin/AdminConnection.java
+++ b/src/main/java/cairnbridge/admin/AdminConnection.java
@@ -35,19 +35,18 @@
     /**
      * Creates the handler of an accepted connection.
      *
-     * @param answeredElsewhere called on any thread when the answer of an asynchronous command is
-     *     set
-     * @param closed called before the channel is closed
+     * @param onAsyncAnswer called on any thread when the answer of an asynchronous command is set
+     * @param onClose called before the channel is closed
      */
     AdminConnection(
             SocketChannel channel,
             AdminCommands commands,
-            Consumer<AdminConnection> answeredElsewhere,
-            Consumer<AdminConnection> closed) {
+            Consumer<AdminConnection> onAsyncAnswer,
+            Consumer<AdminConnection> onClose) {
         this.channel = channel;
         this.commands = commands;
-        this.onAsyncAnswer = answeredElsewhere;
-        this.onClose = closed;
+        this.onAsyncAnswer = onAsyncAnswer;
+        this.onClose = onClose;
     }
 
     /** Registers the channel with the selector for reading. */
--- a/src/test/java/cairnbridge/adapter/AdapterTest.java
+++ b/src/test/java/cairnbridge/adapter/AdapterTest.java
@@ -45,7 +45,7 @@
                 "{\"registry-mode\":\"subscribe\",\"tenants\":[{}],"
                         + "\"rules\":{\"cold-from\":0,\"warm-up-s\":99}}"
             })
-    void unusualSettingsCauseNoInternalError(String params) throws Exception {
+    void unusualSettingsStillProduceAReply(String params) throws Exception {
         String reply =
                 run(
                         "{\"clock-s\":1,\"events\":[[\"START\",0,1,"
--- a/src/test/java/cairnbridge/admin/StatsFormatTest.java
+++ b/src/test/java/cairnbridge/admin/StatsFormatTest.java
@@ -7,7 +7,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Guards against changes to the output format of the stats command, which tools parse. */
+/**
+ * Guards against changes to the output format of the stats command. The fixture was written by an
+ * earlier version.
+ */
 class StatsFormatTest {
     @Test
     void formatMatchesTheFixture() throws Exception {
