--- a/src/main/java/cairnbridge/hash/Fnv1a.java
+++ b/src/main/java/cairnbridge/hash/Fnv1a.java
@@ -1,8 +1,8 @@
 package cairnbridge.hash;
 
 /**
- * FNV-1a with 64 bits over the UTF-16 code units of a text. It gives node names, zone names and
- * request keys the number by which they are known.
+ * The 64-bit FNV-1a hash over the UTF-16 code units of a string. Processes identify node names,
+ * zone names and request keys by this hash.
  */
 public final class Fnv1a {
     private static final long OFFSET_BASIS = 0xcbf29ce484222325L;
@@ -10,7 +10,7 @@
 
     private Fnv1a() {}
 
-    /** The hash of a text. */
+    /** Returns the hash of a string. */
     public static long hash(String text) {
         long hash = OFFSET_BASIS;
         for (int i = 0; i < text.length(); i++) {
--- a/src/main/java/cairnbridge/hash/package-info.java
+++ b/src/main/java/cairnbridge/hash/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Non-cryptographic hash functions whose values are part of a protocol: every process computes the
- * same number for the same input. They must never change.
+ * Non-cryptographic hash functions whose values are part of the protocol between processes: every
+ * process must compute the same value for the same input. The functions must never change.
  */
 package cairnbridge.hash;
