--- a/src/main/java/cairnbridge/cbor/CborReader.java
+++ b/src/main/java/cairnbridge/cbor/CborReader.java
@@ -6,7 +6,7 @@
 
 /**
  * Reads the next field of a CBOR array as a value of the expected type. Every method throws an
- * {@link IOException} where the input holds something else.
+ * {@link IOException} if the input contains a value of another type.
  */
 public final class CborReader {
     private CborReader() {}
@@ -17,7 +17,7 @@
         return parser.getLongValue();
     }
 
-    /** Reads the next field as text. */
+    /** Reads the next field as a string. */
     public static String readText(JsonParser parser) throws IOException {
         require(parser.nextToken() == JsonToken.VALUE_STRING);
         return parser.getText();
@@ -29,7 +29,7 @@
         return parser.getBinaryValue();
     }
 
-    /** Throws an {@link IOException} unless the condition on the input holds. */
+    /** Throws an {@link IOException} if the condition on the input is false. */
     public static void require(boolean condition) throws IOException {
         if (!condition) {
             throw new IOException("input has an unexpected structure");
--- a/src/main/java/cairnbridge/cbor/package-info.java
+++ b/src/main/java/cairnbridge/cbor/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Reading of CBOR (RFC 8949) as a sequence of fields with known types. Writing needs no help beyond
- * Jackson's generator.
+ * Reads CBOR (RFC 8949) as a sequence of fields with known types. Code that writes CBOR uses
+ * Jackson's generator directly.
  */
 package cairnbridge.cbor;
