--- a/src/main/java/cairnbridge/time/Ticks.java
+++ b/src/main/java/cairnbridge/time/Ticks.java
@@ -4,35 +4,35 @@
 
 /**
  * The program's unit of time: one tick is a tenth of a millisecond. Times and durations of type
- * {@code long} are in ticks wherever their name carries no other unit, such as {@code Millis}.
+ * {@code long} are in ticks unless their name contains another unit, such as {@code Millis}.
  */
 public final class Ticks {
-    /** The ticks of a millisecond. */
+    /** Number of ticks in a millisecond. */
     public static final long MILLISECOND = 10;
 
-    /** The ticks of a second. */
+    /** Number of ticks in a second. */
     public static final long SECOND = 1_000 * MILLISECOND;
 
     private static final long NANOS_PER_TICK = TimeUnit.MILLISECONDS.toNanos(1) / MILLISECOND;
 
     private Ticks() {}
 
-    /** The present time of a clock that never goes back; its origin is arbitrary. */
+    /** The current time of a monotonic clock, in ticks; its zero point is arbitrary. */
     public static long now() {
         return System.nanoTime() / NANOS_PER_TICK;
     }
 
-    /** The ticks of a duration in milliseconds. */
+    /** Converts a duration in milliseconds to ticks. */
     public static long fromMillis(long millis) {
         return millis * MILLISECOND;
     }
 
-    /** Whole milliseconds of a duration in ticks, rounded down. */
+    /** Converts a duration in ticks to whole milliseconds, rounded down. */
     public static long toMillis(long ticks) {
         return ticks / MILLISECOND;
     }
 
-    /** Whole seconds of a duration in ticks, rounded down. */
+    /** Converts a duration in ticks to whole seconds, rounded down. */
     public static long toSeconds(long ticks) {
         return ticks / SECOND;
     }
--- a/src/main/java/cairnbridge/time/package-info.java
+++ b/src/main/java/cairnbridge/time/package-info.java
@@ -1,2 +1,2 @@
-/** The unit of time that decisions and protocols count in. */
+/** The unit of time used by routing decisions and protocols: the tick. */
 package cairnbridge.time;
