--- a/src/main/java/cairnbridge/simulation/EventQueue.java
+++ b/src/main/java/cairnbridge/simulation/EventQueue.java
@@ -4,15 +4,15 @@
 import java.util.PriorityQueue;
 
 /**
- * The event queue of a discrete-event simulation, and its clock. Events due at the same time run in
- * the order in which they were scheduled, so that a run with the same input gives the same result.
- * Times are in tenths of a millisecond.
+ * The event queue and the clock of a discrete-event simulation. Events due at the same time run in
+ * the order in which they were scheduled, so that runs with the same input are reproducible. Times
+ * are in ticks of a tenth of a millisecond.
  */
 public final class EventQueue {
-    /** One second of simulated time. */
+    /** Number of ticks in a second of simulated time. */
     public static final long SECOND = Ticks.SECOND;
 
-    /** One millisecond of simulated time. */
+    /** Number of ticks in a millisecond of simulated time. */
     public static final long MILLI = Ticks.MILLISECOND;
 
     private record Event(long time, long sequence, Runnable action) implements Comparable<Event> {
@@ -26,10 +26,10 @@
 
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private long now;
-    private long scheduled;
+    private long lastSequence;
     private long eventsRun;
 
-    /** A queue whose clock begins at the given time. */
+    /** Creates an empty queue whose clock starts at the given time. */
     public EventQueue(long start) {
         now = start;
     }
@@ -46,11 +46,14 @@
 
     /** Schedules an action after a delay; a negative delay counts as zero. */
     public void schedule(long delay, Runnable action) {
-        scheduled++;
-        events.add(new Event(now + Math.max(0, delay), scheduled, action));
+        lastSequence++;
+        events.add(new Event(now + Math.max(0, delay), lastSequence, action));
     }
 
-    /** Runs every event due up to the given time and moves the clock there. */
+    /**
+     * Runs every event due at or before the given time, including those scheduled meanwhile, and
+     * then sets the clock to that time.
+     */
     public void runUntil(long time) {
         while (!events.isEmpty() && events.peek().time() <= time) {
             Event event = events.poll();
--- a/src/main/java/cairnbridge/simulation/package-info.java
+++ b/src/main/java/cairnbridge/simulation/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Discrete-event simulation: simulated time and the queue of events, shared by all simulated nets.
+ * Discrete-event simulation: the simulated clock and the event queue that all simulated networks
+ * use.
  */
 package cairnbridge.simulation;
