--- a/src/main/java/cairnbridge/config/ConfigurationException.java
+++ b/src/main/java/cairnbridge/config/ConfigurationException.java
@@ -1,13 +1,13 @@
 package cairnbridge.config;
 
-/** Configuration that cannot be used. The message begins with the key that is at fault. */
+/** Thrown for an invalid configuration. The message begins with the faulty key. */
 public final class ConfigurationException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     /**
-     * A fault at a key.
+     * Creates an exception about one key.
      *
-     * @param problem what is wrong, as the end of a sentence about the key
+     * @param problem the fault, worded as the predicate of a sentence whose subject is the key
      */
     public ConfigurationException(String key, String problem) {
         super(key + ": " + problem);
--- a/src/main/java/cairnbridge/config/FleetConfig.java
+++ b/src/main/java/cairnbridge/config/FleetConfig.java
@@ -13,14 +13,15 @@
 import java.util.Optional;
 
 /**
- * What an operator's file says of a fleet and this member of it ({@code deploy/fleet.toml}).
+ * The configuration of a fleet and of this member, read from a file such as {@code
+ * deploy/fleet.toml}.
  *
- * @param transport this member, its cluster and its addresses
+ * @param transport the identity of this member, its cluster and its addresses
  * @param membership the parameters of the membership protocol
- * @param location where this member is
- * @param uses what the fleet's view is used for
- * @param zones zone plans; empty where they are off
- * @param recovery recovery from a power loss; empty where it is off
+ * @param location the zone and the region of this member
+ * @param uses the features that use the fleet's membership view
+ * @param zones the settings of zone plans; empty if zone plans are off
+ * @param recovery the settings of recovery from a power loss; empty if recovery is off
  */
 public record FleetConfig(
         TransportSettings transport,
@@ -30,17 +31,18 @@
         Optional<ZoneSettings> zones,
         Optional<RecoverySettings> recovery) {
 
-    /** The zone of a member and its region, empty where the file names none. */
+    /** The zone and the region of a member; an empty string if the file does not set them. */
     public record Location(String zone, String region) {}
 
     /**
-     * What the fleet's view is used for.
+     * The features that use the fleet's membership view.
      *
-     * @param quotasFollowFleet limits of the whole fleet are divided among its live members
-     * @param suspectsNodes nodes that most members cannot reach are distrusted
-     * @param sharesHealthChecks one member of a zone checks each node
-     * @param healthCheckInterval how often it does, in ticks
-     * @param sharesDiscoveryPolls a few members poll a discovery that does not answer
+     * @param quotasFollowFleet whether fleet-wide limits are divided among the live members
+     * @param suspectsNodes whether nodes that most members cannot reach are avoided
+     * @param sharesHealthChecks whether each node is checked by only one member of a zone
+     * @param healthCheckInterval the time between two health checks of a node, in ticks
+     * @param sharesDiscoveryPolls whether only a few members poll discovery while it does not
+     *     answer
      */
     public record Uses(
             boolean quotasFollowFleet,
@@ -50,43 +52,47 @@
             boolean sharesDiscoveryPolls) {}
 
     /**
-     * Reads and checks a file; a fault is a {@link ConfigFault} that begins with its key.
+     * Reads and checks a file.
      *
-     * @param defaultName what the member is called where the file does not say
+     * @param defaultName the name of the member if the file does not set one
+     * @throws ConfigurationException if the file is invalid; the message begins with the faulty key
      */
     public static FleetConfig read(String file, String defaultName) {
         try {
             Path path = Path.of(file);
-            return of(Files.readString(path), path.toAbsolutePath().getParent(), defaultName);
+            return parse(Files.readString(path), path.toAbsolutePath().getParent(), defaultName);
         } catch (IOException | InvalidPathException e) {
             throw new ConfigurationException("--fleet", "cannot be read: " + file);
         }
     }
 
     /**
-     * The same for the text of a file.
+     * Parses and checks the content of a file.
      *
-     * @param folder where relative paths begin
+     * @param folder the folder against which relative paths are resolved
      */
-    static FleetConfig of(String text, Path folder, String defaultName) {
+    static FleetConfig parse(String text, Path folder, String defaultName) {
         return new FleetConfigReader(text, folder).read(defaultName);
     }
 
     /**
-     * Reads what a file says of recovery alone; empty where that is nothing.
+     * Reads only the recovery table of a file; empty if the file has no such table.
      *
-     * @param cluster the name of the cluster that state is persisted for
+     * @param cluster the name of the cluster whose state is persisted
      */
     public static Optional<RecoverySettings> recoveryOf(String text, String cluster) {
         return new FleetConfigReader(text, Path.of("")).recovery(cluster);
     }
 
-    /** Reads what a file says of zones alone; empty where that is nothing. */
+    /** Reads only the zones table of a file; empty if the file has no such table. */
     public static Optional<ZoneSettings> zonesOf(String text) {
         return new FleetConfigReader(text, Path.of("")).zones();
     }
 
-    /** The same with what was persisted; see {@link TransportSettings#withPersisted}. */
+    /**
+     * Returns this configuration with the generation and the member endpoints that were persisted;
+     * see {@link TransportSettings#withPersisted}.
+     */
     public FleetConfig withPersisted(long generation, List<Endpoint> remembered) {
         return new FleetConfig(
                 transport.withPersisted(generation, remembered),
--- a/src/main/java/cairnbridge/config/FleetConfigReader.java
+++ b/src/main/java/cairnbridge/config/FleetConfigReader.java
@@ -24,7 +24,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Reads and checks the tables of a fleet's file. This is the one place that knows its keys. */
+/** Reads and checks the tables of a fleet file. All keys of the file are defined here. */
 final class FleetConfigReader {
     private static final String FLEET = "fleet";
     private static final Set<String> FLEET_KEYS =
@@ -95,17 +95,17 @@
     private static final double MIN_STEP = 0.01;
     private static final double DEFAULT_ORIGIN_IN_FLIGHT = 16;
     private static final double MAX_ORIGIN_IN_FLIGHT = 1e6;
-    private static final double DEFAULT_LOCAL_SHARE = 0.2;
+    private static final double DEFAULT_REROUTED_SHARE = 0.2;
     private static final long DEFAULT_HEALTH_CHECK_INTERVAL = 2 * Ticks.SECOND;
     private static final long DEFAULT_SNAPSHOT_INTERVAL = 2 * Ticks.SECOND;
-    private static final long DEFAULT_MAX_AGE = 86_400 * Ticks.SECOND;
-    private static final long DEFAULT_ALONE_AFTER = 10 * Ticks.SECOND;
-    private static final long DEFAULT_OPEN_AFTER = 120 * Ticks.SECOND;
+    private static final long DEFAULT_MAX_STATE_AGE = 86_400 * Ticks.SECOND;
+    private static final long DEFAULT_QUORUM_TIMEOUT = 10 * Ticks.SECOND;
+    private static final long DEFAULT_MAX_DURATION = 120 * Ticks.SECOND;
 
     private final JsonNode root;
     private final Path folder;
 
-    /** A reader for the text of a file; relative paths begin in the folder. */
+    /** Creates a reader for the content of a file; relative paths are resolved in the folder. */
     FleetConfigReader(String text, Path folder) {
         root = TomlFile.parse(text, FLEET);
         this.folder = folder;
@@ -172,8 +172,8 @@
         String file = fleet.requiredText("secret-file");
         try {
             String text = Files.readString(folder.resolve(file)).strip();
-            // The platform's charset, as members of earlier versions take it: the key of all frames
-            // depends on these bytes.
+            // Uses the platform's default charset, as earlier versions do: these bytes are the key
+            // that authenticates every frame, so all members must read the same bytes.
             byte[] secret = text.getBytes(Charset.defaultCharset());
             if (secret.length < MIN_SECRET_BYTES) {
                 throw fleet.invalid(
@@ -194,7 +194,7 @@
     private static Endpoint endpoint(TomlTable table, String key, String text) {
         try {
             Endpoint endpoint = Endpoint.parse(text);
-            endpoint.toSocketAddress(); // Checks that it is an IP address.
+            endpoint.toSocketAddress(); // Throws unless the host is an IP address.
             return endpoint;
         } catch (IllegalArgumentException e) {
             throw table.invalid(key, "is not an address and a port: " + text);
@@ -253,7 +253,7 @@
                 .build();
     }
 
-    /** Zone plans; empty where the file has no such table. */
+    /** Reads the settings of zone plans; empty if the file has no such table. */
     Optional<ZoneSettings> zones() {
         if (!root.has("zones")) {
             return Optional.empty();
@@ -265,7 +265,7 @@
         for (Map.Entry<String, JsonNode> region : zones.value("regions").properties()) {
             regions.put(region.getKey(), region.getValue().asText());
         }
-        PlannerSettings plan = planSettings(zones);
+        PlannerSettings planner = plannerSettings(zones);
         return Optional.of(
                 new ZoneSettings(
                         agreed,
@@ -273,8 +273,8 @@
                         folder.resolve(zones.text("state", "zones.state")),
                         zones.number("node-ops-per-s", Double.NaN, MIN_NODE_RATE, MAX_RATE),
                         Map.copyOf(regions),
-                        plan,
-                        zones.number("alone-part", DEFAULT_LOCAL_SHARE, 0, 1)));
+                        planner,
+                        zones.number("alone-part", DEFAULT_REROUTED_SHARE, 0, 1)));
     }
 
     private static List<MemberId> voters(TomlTable zones, boolean agreed) {
@@ -294,7 +294,7 @@
         return voters;
     }
 
-    private static PlannerSettings planSettings(TomlTable zones) {
+    private static PlannerSettings plannerSettings(TomlTable zones) {
         PlannerSettings defaults = PlannerSettings.DEFAULT;
         return new PlannerSettings(
                 zones.number("step-away", defaults.maxShareAway(), MIN_STEP, 1),
@@ -307,7 +307,7 @@
                 zones.number("origin-fetches-per-s", defaults.maxMovedPerSecond(), 1, MAX_RATE));
     }
 
-    /** Recovery from a power loss; empty where the file has no such table. */
+    /** Reads the settings of recovery from a power loss; empty if the file has no such table. */
     Optional<RecoverySettings> recovery(String cluster) {
         if (!root.has("recovery")) {
             return Optional.empty();
@@ -329,14 +329,14 @@
         return Optional.of(
                 new RecoverySettings(
                         store,
-                        recovery.duration("most-age-s", DEFAULT_MAX_AGE, 1),
-                        recovery.duration("alone-after-s", DEFAULT_ALONE_AFTER, 0.5),
+                        recovery.duration("most-age-s", DEFAULT_MAX_STATE_AGE, 1),
+                        recovery.duration("alone-after-s", DEFAULT_QUORUM_TIMEOUT, 0.5),
                         recovery.number(
                                 "origin-in-flight",
                                 DEFAULT_ORIGIN_IN_FLIGHT,
                                 1,
                                 MAX_ORIGIN_IN_FLIGHT),
-                        recovery.duration("open-after-s", DEFAULT_OPEN_AFTER, 1)));
+                        recovery.duration("open-after-s", DEFAULT_MAX_DURATION, 1)));
     }
 
     private Path storeFolder(TomlTable recovery) {
--- a/src/main/java/cairnbridge/config/IpAddresses.java
+++ b/src/main/java/cairnbridge/config/IpAddresses.java
@@ -6,14 +6,15 @@
 import java.util.Optional;
 import java.util.regex.Pattern;
 
-/** Reads IP addresses with a port. Names are not looked up, as there may be no DNS to ask. */
+/** Parses IP addresses with a port. Host names are rejected, as DNS may be unavailable. */
 public final class IpAddresses {
     private static final Pattern LITERAL = Pattern.compile("[0-9.]+|\\[[0-9a-fA-F:.]+\\]");
 
     private IpAddresses() {}
 
     /**
-     * The address of a text such as {@code 10.0.0.1:80} or {@code [::1]:80}; empty if it is none.
+     * Parses an address such as {@code 10.0.0.1:80} or {@code [::1]:80}; empty if the text is not
+     * an IP address with a port.
      */
     public static Optional<InetSocketAddress> parse(String text) {
         int colon = text.lastIndexOf(':');
--- a/src/main/java/cairnbridge/config/JsonObject.java
+++ b/src/main/java/cairnbridge/config/JsonObject.java
@@ -10,9 +10,9 @@
 import java.util.Map;
 
 /**
- * A JSON object whose values are read by key. Absent and null values give the default; a value of
- * the wrong type is a {@link ConfigurationException}. Only the streaming parser is used, as loading
- * data binding would make the start of a process slower.
+ * A JSON object whose values are read by key. The default is used for absent and null values; a
+ * value of the wrong type causes a {@link ConfigurationException}. Only the streaming parser is
+ * used, as loading the classes of Jackson's data binding would make the start of a process slower.
  */
 public final class JsonObject {
     private static final JsonFactory JSON = new JsonFactory();
@@ -25,9 +25,9 @@
     }
 
     /**
-     * Parses a text.
+     * Parses the text of a JSON object.
      *
-     * @param name what the object is called in messages
+     * @param name the name of the object in error messages
      */
     public static JsonObject parse(String text, String name) {
         try (JsonParser parser = JSON.createParser(text)) {
@@ -40,7 +40,11 @@
         }
     }
 
-    /** Reads the object whose opening brace is the parser's current token. */
+    /**
+     * Reads the object whose opening brace is the parser's current token.
+     *
+     * @param path the path of the object in error messages, such as {@code LB_CONFIG.limits}
+     */
     public static JsonObject read(JsonParser parser, String path) throws IOException {
         JsonObject object = new JsonObject(path);
         while (parser.nextToken() == JsonToken.FIELD_NAME) {
@@ -71,66 +75,66 @@
         };
     }
 
-    /** Whether a key has a value that is not null. */
+    /** Whether the key is present with a value other than null. */
     public boolean has(String key) {
         return values.containsKey(key);
     }
 
-    /** A number. */
+    /** Returns the number at a key, or the default if the key is absent. */
     public double number(String key, double defaultValue) {
-        Double found = typed(key, Double.class, "a number");
-        return found == null ? defaultValue : found;
+        Double value = valueOfType(key, Double.class, "a number");
+        return value == null ? defaultValue : value;
     }
 
-    /** A text. */
+    /** Returns the string at a key, or the default if the key is absent. */
     public String text(String key, String defaultValue) {
-        String found = typed(key, String.class, "a text");
-        return found == null ? defaultValue : found;
+        String value = valueOfType(key, String.class, "a text");
+        return value == null ? defaultValue : value;
     }
 
-    /** A boolean, false if absent. */
+    /** Returns the boolean at a key, false if the key is absent. */
     public boolean flag(String key) {
-        return Boolean.TRUE.equals(typed(key, Boolean.class, "true or false"));
+        return Boolean.TRUE.equals(valueOfType(key, Boolean.class, "true or false"));
     }
 
-    /** An object, empty if absent. */
+    /** Returns the object at a key, an empty one if the key is absent. */
     public JsonObject object(String key) {
-        JsonObject found = typed(key, JsonObject.class, "an object");
-        return found == null ? new JsonObject(path + "." + key) : found;
+        JsonObject value = valueOfType(key, JsonObject.class, "an object");
+        return value == null ? new JsonObject(path + "." + key) : value;
     }
 
-    /** A list of texts, empty if absent. */
+    /** Returns the list of strings at a key, an empty one if the key is absent. */
     public List<String> texts(String key) {
         return list(key, String.class, "a list of texts");
     }
 
-    /** A list of objects, empty if absent. */
+    /** Returns the list of objects at a key, an empty one if the key is absent. */
     public List<JsonObject> objects(String key) {
         return list(key, JsonObject.class, "a list of objects");
     }
 
-    /** The exception for a value that cannot be used. */
+    /** Creates the exception for an invalid value; the message begins with the path of the key. */
     public ConfigurationException invalid(String key, String problem) {
         return new ConfigurationException(path + "." + key, problem);
     }
 
-    private <T> List<T> list(String key, Class<T> type, String what) {
+    private <T> List<T> list(String key, Class<T> type, String expected) {
         List<T> result = new ArrayList<>();
-        List<?> found = typed(key, List.class, what);
-        for (Object each : found == null ? List.of() : found) {
-            if (!type.isInstance(each)) {
-                throw invalid(key, "is not " + what);
+        List<?> value = valueOfType(key, List.class, expected);
+        for (Object element : value == null ? List.of() : value) {
+            if (!type.isInstance(element)) {
+                throw invalid(key, "is not " + expected);
             }
-            result.add(type.cast(each));
+            result.add(type.cast(element));
         }
         return result;
     }
 
-    private <T> T typed(String key, Class<T> type, String what) {
-        Object found = values.get(key);
-        if (found != null && !type.isInstance(found)) {
-            throw invalid(key, "is not " + what);
+    private <T> T valueOfType(String key, Class<T> type, String expected) {
+        Object value = values.get(key);
+        if (value != null && !type.isInstance(value)) {
+            throw invalid(key, "is not " + expected);
         }
-        return type.cast(found);
+        return type.cast(value);
     }
 }
--- a/src/main/java/cairnbridge/config/ProxyConfig.java
+++ b/src/main/java/cairnbridge/config/ProxyConfig.java
@@ -10,18 +10,20 @@
 import java.util.Optional;
 
 /**
- * What one proxy is told at its start, read from the environment and the file that it names.
+ * The configuration of one proxy, read at its start from environment variables and the JSON file
+ * that {@code LB_CONFIG} names.
  *
- * @param name what the proxy is called in logs
- * @param seed the seed of its random choices
+ * @param name the name of the proxy in logs
+ * @param seed the seed of the random number generator
  * @param network addresses, limits and timeouts
- * @param names names that requests and the endpoint list use
- * @param readsLoadReports whether caches report their load
+ * @param names names in requests and in the endpoint list that are mapped to numbers
+ * @param readsLoadReports whether the proxy reads load reports of the caches
  * @param settings the settings of the decision module
- * @param initialEndpoints the endpoint list that the proxy starts with, in discovery's form
- * @param warmStartFile where what was learnt is kept from one process to the next; empty for
- *     nowhere
- * @param stateFolder a folder that processes of this proxy share; empty for none
+ * @param initialEndpoints the endpoint list that the proxy starts with, in the format of
+ *     discovery's answers
+ * @param warmStartFile the file in which a process saves its warm start state for the next process;
+ *     empty if the state is not saved
+ * @param stateFolder the folder that successive processes of this proxy share; empty if not set
  */
 public record ProxyConfig(
         String name,
@@ -35,14 +37,14 @@
         Optional<Path> stateFolder) {
 
     /**
-     * Addresses, limits and timeouts. Times are ticks.
+     * Addresses, limits and timeouts. Durations are in ticks.
      *
-     * @param listen where clients connect; port 0 takes any free one
-     * @param discovery the agent of discovery
-     * @param admin the administration endpoint; empty for none
-     * @param maxSockets how many sockets the proxy may have open
-     * @param connectTimeout for a connection to a node or to discovery
-     * @param idleTimeout how long a connection to a node is kept unused
+     * @param listen the address for clients; with port 0 the system picks a free port
+     * @param discovery the address of the discovery agent
+     * @param admin the address of the administration endpoint; empty if there is none
+     * @param maxSockets the maximum number of open sockets
+     * @param connectTimeout the maximum time to connect to a node or to discovery
+     * @param idleTimeout the time after which an unused connection to a node is closed
      */
     public record Network(
             InetSocketAddress listen,
@@ -53,36 +55,37 @@
             long idleTimeout) {}
 
     /**
-     * Names that stand for numbers inside the proxy: each for its place in its list.
+     * Names that the proxy replaces by numbers internally: the number is the index in the list.
      *
-     * @param categories the first segments of request paths
-     * @param machineKinds models of the endpoint list
-     * @param zones availability zones of the endpoint list
+     * @param categories the names of request classes, which are the first segments of request paths
+     * @param machineKinds machine models in the endpoint list
+     * @param zones availability zones in the endpoint list
      */
     public record Names(List<String> categories, List<String> machineKinds, List<String> zones) {}
 
     /**
-     * Reads and checks the file that the variables name.
+     * Reads and checks the configuration file that the environment variables name.
      *
-     * @throws ConfigurationException if it cannot be used
+     * @throws ConfigurationException if the configuration is invalid
      */
     public static ProxyConfig read(Map<String, String> variables) {
         return new ProxyConfigReader(variables).read();
     }
 
     /**
-     * The configuration file that the variables name.
+     * Returns the path of the configuration file that the environment variables name.
      *
-     * @throws ConfigurationException if they name none
+     * @throws ConfigurationException if no variable names one
      */
     public static Path file(Map<String, String> variables) {
         return new ProxyConfigReader(variables).file();
     }
 
     /**
-     * A small configuration on the loopback address, for the start that the build rehearses. Guards
-     * against a start that loads anew what it needs for the administration endpoint and the files
-     * in the state folder: both are in use there as well.
+     * A small configuration on the loopback address for the start that the build rehearses to
+     * record the classes of the class data archive. Guards against a slow start that loads the
+     * classes of the administration endpoint and of the files in the state folder without the
+     * archive: the rehearsal uses both.
      */
     public static ProxyConfig rehearsal() {
         Map<String, String> variables = Map.of("TMPDIR", System.getProperty("java.io.tmpdir"));
@@ -100,15 +103,15 @@
         return new ProxyConfigReader(variables).read(root);
     }
 
-    /** What the process before this one has learnt; nothing where that was not kept. */
+    /** Reads the state that the previous process saved; the empty state if there is none. */
     public WarmStartState readWarmStart() {
         return warmStartFile.map(WarmStartFile::read).orElse(WarmStartState.EMPTY);
     }
 
-    /** Keeps what this process has learnt for the next one, if there is a file for it. */
-    public void writeWarmStart(WarmStartState learnt) throws IOException {
+    /** Saves the state for the next process, if a warm start file is configured. */
+    public void writeWarmStart(WarmStartState state) throws IOException {
         if (warmStartFile.isPresent()) {
-            WarmStartFile.write(warmStartFile.get(), learnt);
+            WarmStartFile.write(warmStartFile.get(), state);
         }
     }
 }
--- a/src/main/java/cairnbridge/config/ProxyConfigReader.java
+++ b/src/main/java/cairnbridge/config/ProxyConfigReader.java
@@ -10,8 +10,8 @@
 import java.util.Optional;
 
 /**
- * Reads a {@link ProxyConfig}. A variable of the environment stands for a name or an address that
- * the file lacks. This is the one place that knows the variables and the keys at the file's top.
+ * Reads a {@link ProxyConfig}. If the file sets no name or address, the environment variable for it
+ * is used. All environment variables and all top-level keys of the file are defined here.
  */
 final class ProxyConfigReader {
     private static final String FILE = "LB_CONFIG";
@@ -40,7 +40,7 @@
         this.variables = variables;
     }
 
-    /** The file that the variables name. */
+    /** Returns the path of the configuration file that the variables name. */
     Path file() {
         String file =
                 variable(FILE)
@@ -60,7 +60,7 @@
         return Optional.ofNullable(variables.get(name)).filter(value -> !value.isEmpty());
     }
 
-    /** Reads and checks the file that the variables name. */
+    /** Reads and checks the configuration file that the variables name. */
     ProxyConfig read() {
         Path file = file();
         try {
@@ -70,7 +70,7 @@
         }
     }
 
-    /** Checks the content of a file. */
+    /** Reads and checks the parsed content of a configuration file. */
     ProxyConfig read(JsonObject root) {
         JsonObject settings = root.object("settings");
         JsonObject limits = settings.object("limits");
@@ -146,14 +146,17 @@
         return variable(STATE_FOLDER).map(Path::of);
     }
 
-    /** In the state folder, unless the file names another one; an empty name stands for none. */
+    /**
+     * The path that the configuration sets, where an empty one turns saving off; by default a file
+     * in the state folder.
+     */
     private Optional<Path> warmStartFile(JsonObject root) {
         if (!root.has(WARM_START_KEY)) {
             return stateFolder().map(folder -> folder.resolve(WARM_START_FILE_NAME));
         }
         try {
             return Optional.of(root.text(WARM_START_KEY, ""))
-                    .filter(name -> !name.isEmpty())
+                    .filter(path -> !path.isEmpty())
                     .map(Path::of);
         } catch (InvalidPathException e) {
             throw root.invalid(WARM_START_KEY, "is no path");
--- a/src/main/java/cairnbridge/config/SettingsReader.java
+++ b/src/main/java/cairnbridge/config/SettingsReader.java
@@ -13,13 +13,15 @@
 import java.util.List;
 
 /**
- * Reads the settings of the decision module. Unknown keys are ignored, absent ones have defaults;
- * {@link SettingsValidator} has checked the values before.
+ * Reads the settings of the decision module. Unknown keys are ignored, and absent keys have
+ * defaults. {@link SettingsValidator} must have checked the values before.
  */
 public final class SettingsReader {
     private static final double DEFAULT_TTL_SECONDS = 1.0;
 
-    /** Guards against 0.0003 s that is 2.9999 ticks as a binary fraction. */
+    /**
+     * Guards against rounding 0.0003 s down to 2 ticks: as a binary fraction it is 2.9999 ticks.
+     */
     private static final double ROUNDING = 1e-6;
 
     private final JsonObject root;
@@ -28,7 +30,7 @@
         this.root = root;
     }
 
-    /** The settings of the decision module. */
+    /** Reads the settings of the decision module from the settings object. */
     public static Settings read(JsonObject root) {
         return new SettingsReader(root).settings();
     }
@@ -118,7 +120,7 @@
         double ttlSeconds = category.number("ttl-s", DEFAULT_TTL_SECONDS);
         return new Category(
                 effect(category),
-                group(category),
+                deduplicationScope(category),
                 ticks(category, "memory-span-s", 0),
                 toTicks(category.number("target-latency-s", ttlSeconds)),
                 category.number("aim-stretch", 0),
@@ -142,7 +144,7 @@
         };
     }
 
-    private static DeduplicationScope group(JsonObject category) {
+    private static DeduplicationScope deduplicationScope(JsonObject category) {
         return switch (category.text("group", "cell")) {
             case "all" -> DeduplicationScope.ALL_NODES;
             case "zone" -> DeduplicationScope.ZONE;
@@ -158,7 +160,7 @@
         return new Tenant(tenant.number("quota-per-s", 0), tenant.number("fraction", 0));
     }
 
-    /** Seconds as ticks of a tenth of a millisecond, rounded down. */
+    /** Converts seconds to ticks of a tenth of a millisecond, rounded down. */
     public static long toTicks(double seconds) {
         return (long) Math.floor(seconds * Ticks.SECOND + ROUNDING);
     }
--- a/src/main/java/cairnbridge/config/SettingsValidator.java
+++ b/src/main/java/cairnbridge/config/SettingsValidator.java
@@ -3,13 +3,13 @@
 import java.util.HashSet;
 import java.util.List;
 
-/** Rejects settings that a proxy cannot act on. Absent and unknown keys are accepted. */
+/** Rejects settings with values that are out of range. Absent and unknown keys are accepted. */
 final class SettingsValidator {
     private static final int MAX_REPORT_COLUMNS = 4;
 
     private SettingsValidator() {}
 
-    /** Checks the settings of the decision module; the first fault is thrown. */
+    /** Checks the settings of the decision module and throws an exception for the first fault. */
     static void validate(JsonObject root) {
         requireAtLeast(root, "instances", 1);
         requirePositive(root, "granularity-s");
@@ -65,14 +65,14 @@
         }
     }
 
-    /** A number above 0. */
+    /** Checks that the number at a key, if present, is greater than 0. */
     static void requirePositive(JsonObject object, String key) {
         if (!(object.number(key, 1) > 0)) {
             throw object.invalid(key, "is not above 0");
         }
     }
 
-    /** A number of at least a minimum. */
+    /** Checks that the number at a key, if present, is not less than a minimum. */
     static void requireAtLeast(JsonObject object, String key, double minimum) {
         if (!(object.number(key, minimum) >= minimum)) {
             throw object.invalid(key, "is under " + Math.round(minimum));
@@ -85,9 +85,9 @@
         }
     }
 
-    private static void requireOneOf(JsonObject object, String key, String... known) {
-        if (!List.of(known).contains(object.text(key, known[0]))) {
-            throw object.invalid(key, "is none of " + String.join(", ", known));
+    private static void requireOneOf(JsonObject object, String key, String... allowed) {
+        if (!List.of(allowed).contains(object.text(key, allowed[0]))) {
+            throw object.invalid(key, "is none of " + String.join(", ", allowed));
         }
     }
 }
--- a/src/main/java/cairnbridge/config/TomlFile.java
+++ b/src/main/java/cairnbridge/config/TomlFile.java
@@ -4,15 +4,16 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
 
-/** Parses the TOML files of operators. */
+/** Parses TOML files and reports syntax errors with their line number. */
 public final class TomlFile {
     private TomlFile() {}
 
     /**
-     * Parses a text.
+     * Parses the content of a file.
      *
-     * @param name what the file is called in messages
-     * @throws ConfigurationException that names the line which is no TOML
+     * @param name the name of the file in error messages
+     * @throws ConfigurationException if the text is not valid TOML; the message contains the line
+     *     number
      */
     public static JsonNode parse(String text, String name) {
         try {
--- a/src/main/java/cairnbridge/config/TomlTable.java
+++ b/src/main/java/cairnbridge/config/TomlTable.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** One table of a TOML file, whose values are read with a default and checked. */
+/** A table of a TOML file. Values are read by key, with a default, and checked. */
 final class TomlTable {
     /** The longest duration that can be configured, in seconds. */
     private static final double MAX_SECONDS = 1e6;
@@ -14,9 +14,10 @@
     private final String path;
 
     /**
-     * A table in which only these keys may occur: an unknown one is mostly a misspelt one.
+     * Creates a table and rejects every key that is not in the set: an unknown key is usually a
+     * misspelt one.
      *
-     * @param path the table's name in messages
+     * @param path the path of the table in error messages
      */
     TomlTable(JsonNode node, String path, Set<String> keys) {
         this.node = node;
@@ -31,13 +32,13 @@
         }
     }
 
-    /** The value of a key as it was parsed; a missing node if the key is absent. */
+    /** Returns the parsed value of a key; a missing node if the key is absent. */
     JsonNode value(String key) {
         return node.path(key);
     }
 
-    ConfigurationException invalid(String key, String message) {
-        return new ConfigurationException(path + "." + key, message);
+    ConfigurationException invalid(String key, String problem) {
+        return new ConfigurationException(path + "." + key, problem);
     }
 
     String text(String key, String defaultValue) {
@@ -48,7 +49,7 @@
         return value.isMissingNode() ? defaultValue : value.asText();
     }
 
-    /** A text that has to be set. */
+    /** Returns the string at a key; throws an exception if it is absent or empty. */
     String requiredText(String key) {
         String text = text(key, "");
         if (text.isEmpty()) {
@@ -62,16 +63,16 @@
         double number = value.asDouble(defaultValue);
         boolean wrongType = !value.isMissingNode() && !value.isNumber();
         if (wrongType || !(number >= min && number <= max)) {
-            throw invalid(key, "is not a number from " + plain(min) + " to " + plain(max));
+            throw invalid(key, "is not a number from " + format(min) + " to " + format(max));
         }
         return number;
     }
 
-    private static String plain(double number) {
+    private static String format(double number) {
         return number == Math.rint(number) ? String.valueOf((long) number) : String.valueOf(number);
     }
 
-    /** A duration in ticks, which the file states in seconds. */
+    /** Returns a duration in ticks; the file contains it in seconds. */
     long duration(String key, long defaultTicks, double minSeconds) {
         double seconds = (double) defaultTicks / Ticks.SECOND;
         return (long) (number(key, seconds, minSeconds, MAX_SECONDS) * Ticks.SECOND);
--- a/src/main/java/cairnbridge/config/WarmStartFile.java
+++ b/src/main/java/cairnbridge/config/WarmStartFile.java
@@ -14,15 +14,15 @@
 import java.util.logging.Logger;
 
 /**
- * The file in which a process leaves what it has learnt about its nodes to the next one. A file
- * that cannot be used is treated as none.
+ * The file in which a process saves what it has measured about its nodes for the next process. An
+ * invalid file is treated like an absent one.
  */
 final class WarmStartFile {
     private static final Logger LOG = Logger.getLogger(WarmStartFile.class.getName());
     private static final String NAME_IN_MESSAGES = "learnt";
     private static final String TEMPORARY_SUFFIX = ".new";
 
-    private static final String TIME = "at";
+    private static final String RECORDED_AT = "at";
     private static final String ORIGIN_LATENCY = "origin-span";
     private static final String NODES = "nodes";
     private static final String NODE_ID = "id";
@@ -32,7 +32,7 @@
 
     private WarmStartFile() {}
 
-    /** Reads a file; nothing where it does not exist or cannot be used. */
+    /** Reads a file; returns the empty state if the file is absent or invalid. */
     static WarmStartState read(Path file) {
         if (!Files.exists(file)) {
             return WarmStartState.EMPTY;
@@ -40,7 +40,7 @@
         try {
             return parse(JsonObject.parse(Files.readString(file), NAME_IN_MESSAGES));
         } catch (IOException | ConfigurationException | NumberFormatException e) {
-            // Guards against a start that fails for want of what it can learn anew.
+            // Guards against a failed start: the process can measure the state again.
             LOG.log(
                     Level.WARNING,
                     "warm start: the file cannot be used, starting without it: {0}",
@@ -57,7 +57,10 @@
                     id, new WarmStartState.Trust((long) node.number(NODE_STARTED, 0), share(node)));
         }
         return new WarmStartState(
-                (long) root.number(TIME, 0), Math.max(0, root.number(ORIGIN_LATENCY, 0)), 0, nodes);
+                (long) root.number(RECORDED_AT, 0),
+                Math.max(0, root.number(ORIGIN_LATENCY, 0)),
+                0,
+                nodes);
     }
 
     private static double share(JsonObject node) {
@@ -68,13 +71,13 @@
         return share;
     }
 
-    /** Replaces the file. */
-    static void write(Path file, WarmStartState learnt) throws IOException {
-        // Guards against a half written file, where the platform kills the proxy meanwhile.
+    /** Replaces the file atomically. */
+    static void write(Path file, WarmStartState state) throws IOException {
+        // Guards against an incomplete file if the platform kills the proxy during the write.
         Path temporary = file.resolveSibling(file.getFileName() + TEMPORARY_SUFFIX);
         try (JsonGenerator generator =
                 new JsonFactory().createGenerator(Files.newBufferedWriter(temporary))) {
-            write(generator, learnt);
+            write(generator, state);
         }
         Files.move(
                 temporary,
@@ -83,12 +86,12 @@
                 StandardCopyOption.ATOMIC_MOVE);
     }
 
-    private static void write(JsonGenerator generator, WarmStartState learnt) throws IOException {
+    private static void write(JsonGenerator generator, WarmStartState state) throws IOException {
         generator.writeStartObject();
-        generator.writeNumberField(TIME, learnt.recordedAt());
-        generator.writeNumberField(ORIGIN_LATENCY, learnt.originLatency());
+        generator.writeNumberField(RECORDED_AT, state.recordedAt());
+        generator.writeNumberField(ORIGIN_LATENCY, state.originLatency());
         generator.writeArrayFieldStart(NODES);
-        for (Map.Entry<NodeId, WarmStartState.Trust> node : learnt.nodes().entrySet()) {
+        for (Map.Entry<NodeId, WarmStartState.Trust> node : state.nodes().entrySet()) {
             generator.writeStartObject();
             generator.writeStringField(NODE_ID, Long.toHexString(node.getKey().value()));
             generator.writeNumberField(NODE_STARTED, node.getValue().startedAt());
--- a/src/main/java/cairnbridge/config/package-info.java
+++ b/src/main/java/cairnbridge/config/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Reads and checks everything that a proxy is told at its start: the environment, the settings
- * file, the deploy file and the fleet file. No other package reads configuration.
+ * Reads and checks the configuration of a proxy: the environment variables, the JSON configuration
+ * file and the TOML fleet file. No other package reads the configuration of a proxy.
  */
 package cairnbridge.config;
--- a/src/test/java/cairnbridge/config/FleetConfigTest.java
+++ b/src/test/java/cairnbridge/config/FleetConfigTest.java
@@ -18,21 +18,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The operator's file of a fleet: what it says, and what is said of a faulty one. */
+/** The fleet file: its values, its defaults and the messages for invalid files. */
 class FleetConfigTest {
-    private static final String GOOD =
+    private static final String MINIMAL_CONFIG =
             "cluster = \"c\"\nsecret-file = \"secret\"\nbind = \"127.0.0.1:0\"\n";
     @TempDir Path folder;
 
     @BeforeEach
-    void secret() throws IOException {
+    void writeSecretFiles() throws IOException {
         Files.writeString(folder.resolve("secret"), "sixteen bytes or more");
         Files.writeString(folder.resolve("short"), "too short");
     }
 
     @Test
-    void whatIsNotSaidIsAsUsual() {
-        FleetConfig config = FleetConfig.of(GOOD, folder, "p1");
+    void anAbsentKeyHasItsDefault() {
+        FleetConfig config = FleetConfig.parse(MINIMAL_CONFIG, folder, "p1");
         assertEquals(SwimSettings.DEFAULT, config.membership());
         assertEquals("p1", config.transport().identity().id().name());
         assertTrue(
@@ -43,10 +43,10 @@
     }
 
     @Test
-    void theFileUnderDeployIsReadAndSaysWhatIsUsual() throws IOException {
+    void theFileUnderDeployIsValidAndMatchesTheDefaults() throws IOException {
         Files.writeString(folder.resolve("fleet.secret"), "sixteen bytes or more");
         FleetConfig config =
-                FleetConfig.of(Files.readString(Path.of("deploy/fleet.toml")), folder, "p1");
+                FleetConfig.parse(Files.readString(Path.of("deploy/fleet.toml")), folder, "p1");
         assertEquals(SwimSettings.DEFAULT, config.membership());
         assertEquals(
                 List.of(new Endpoint("127.0.0.1", 7946)), config.transport().contacts().seeds());
@@ -92,40 +92,45 @@
                 "use.sharse = true | fleet.use.sharse: is no key of this table",
                 "routes.\"10.0.0.1:1\" = \"x\" | fleet.routes: is not an address and a port: x"
             })
-    void aFaultIsNamedByItsKey(String line, String fault) {
+    void anErrorMessageBeginsWithTheFaultyKey(String line, String expectedMessage) {
         String key = line.substring(0, line.indexOf(' '));
         String text =
-                GOOD.lines()
-                                .filter(each -> !each.startsWith(key + " "))
+                MINIMAL_CONFIG
+                                .lines()
+                                .filter(other -> !other.startsWith(key + " "))
                                 .reduce("", (a, b) -> a + b + "\n")
                         + line
                         + "\n";
         assertEquals(
-                fault,
-                assertThrows(ConfigurationException.class, () -> FleetConfig.of(text, folder, "p"))
+                expectedMessage,
+                assertThrows(
+                                ConfigurationException.class,
+                                () -> FleetConfig.parse(text, folder, "p"))
                         .getMessage());
     }
 
     @Test
-    void whatIsKeptStandsBesideTheFileUnlessItSaysOtherwise() {
-        assertTrue(FleetConfig.of(GOOD, folder, "p1").recovery().isEmpty());
-        RecoverySettings kept =
-                FleetConfig.of(GOOD + "recovery.folder = \"store\"\n", folder, "p1")
+    void theRecoveryFolderIsRelativeToTheFileAndOtherKeysHaveDefaults() {
+        assertTrue(FleetConfig.parse(MINIMAL_CONFIG, folder, "p1").recovery().isEmpty());
+        RecoverySettings recovery =
+                FleetConfig.parse(MINIMAL_CONFIG + "recovery.folder = \"store\"\n", folder, "p1")
                         .recovery()
                         .orElseThrow();
-        assertEquals(folder.resolve("store"), kept.store().directory());
-        assertEquals("c", kept.store().cluster());
-        assertEquals(2_000, kept.store().snapshotIntervalMillis());
-        assertEquals(100_000, kept.quorumTimeout());
+        assertEquals(folder.resolve("store"), recovery.store().directory());
+        assertEquals("c", recovery.store().cluster());
+        assertEquals(2_000, recovery.store().snapshotIntervalMillis());
+        assertEquals(100_000, recovery.quorumTimeout());
     }
 
     @Test
-    void whatIsNoTomlIsNamedByItsLine() {
-        ConfigurationException fault =
+    void aSyntaxErrorIsReportedWithItsLine() {
+        ConfigurationException exception =
                 assertThrows(
                         ConfigurationException.class,
-                        () -> FleetConfig.of(GOOD + "seeds = [\n=\n", folder, "p"));
-        assertTrue(fault.getMessage().startsWith("fleet: line 5 is no TOML: "), fault.getMessage());
-        assertFalse(fault.getMessage().contains("\n"));
+                        () -> FleetConfig.parse(MINIMAL_CONFIG + "seeds = [\n=\n", folder, "p"));
+        assertTrue(
+                exception.getMessage().startsWith("fleet: line 5 is no TOML: "),
+                exception.getMessage());
+        assertFalse(exception.getMessage().contains("\n"));
     }
 }
--- a/src/test/java/cairnbridge/config/WarmStartFileTest.java
+++ b/src/test/java/cairnbridge/config/WarmStartFileTest.java
@@ -13,11 +13,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The file that a proxy leaves to its next start keeps the form of an earlier version. */
+/**
+ * Guards against a change in the format of the warm start file, which proxies of an earlier version
+ * write and read as well.
+ */
 class WarmStartFileTest {
     @TempDir Path folder;
 
-    private static WarmStartState learnt(double sendRate) {
+    private static WarmStartState state(double sendRate) {
         Map<NodeId, WarmStartState.Trust> nodes = new LinkedHashMap<>();
         nodes.put(new NodeId(-7), new WarmStartState.Trust(16_999_999_990_000L, 0.5));
         nodes.put(new NodeId(0x1f), new WarmStartState.Trust(0, 1));
@@ -28,14 +31,14 @@
     void aFileOfAnEarlierVersionIsRead() throws Exception {
         Fixtures.copy("", folder, "learnt");
 
-        // The send rate is no part of the file.
-        assertEquals(learnt(0), WarmStartFile.read(folder.resolve("learnt")));
+        // The file does not contain the send rate, so it is 0 after reading.
+        assertEquals(state(0), WarmStartFile.read(folder.resolve("learnt")));
     }
 
     @Test
-    void theSameIsWrittenAsTheSameBytes() throws Exception {
+    void theStateIsWrittenAsTheSameBytesAsByAnEarlierVersion() throws Exception {
         Path file = folder.resolve("learnt");
-        WarmStartFile.write(file, learnt(77.25));
+        WarmStartFile.write(file, state(77.25));
 
         assertArrayEquals(Fixtures.bytes("learnt"), Files.readAllBytes(file));
     }
