--- a/src/main/java/cairnbridge/config/FleetConfigReader.java
+++ b/src/main/java/cairnbridge/config/FleetConfigReader.java
@@ -137,7 +137,7 @@
     private TransportSettings transport(TomlTable fleet, String defaultName) {
         String name = fleet.text("name", defaultName);
         if (!MemberId.isValidName(name)) {
-            throw fleet.invalid("name", "is no member's name: " + name);
+            throw fleet.invalid("name", "is not a valid member name: " + name);
         }
         Optional<Endpoint> advertised =
                 Optional.of(fleet.text("advertise", ""))
@@ -232,7 +232,7 @@
         long probeInterval = view.duration("probe-every-s", defaults.probeInterval(), 0.05);
         long probeTimeout = view.duration("probe-timeout-s", defaults.probeTimeout(), 0.01);
         if (probeTimeout * 2 > probeInterval) {
-            throw view.invalid("probe-timeout-s", "is over half of probe-every-s");
+            throw view.invalid("probe-timeout-s", "is more than half of probe-every-s");
         }
         return SwimSettings.builder()
                 .probes(probeInterval, probeTimeout)
@@ -281,7 +281,7 @@
         List<MemberId> voters = new ArrayList<>();
         for (JsonNode voter : zones.value("voters")) {
             if (!MemberId.isValidName(voter.asText())) {
-                throw zones.invalid("voters", "has what is no member's name: " + voter.asText());
+                throw zones.invalid("voters", "contains an invalid member name: " + voter.asText());
             }
             voters.add(new MemberId(voter.asText()));
         }
@@ -289,7 +289,7 @@
         boolean usable = voters.size() % 2 == 1 && voters.size() <= MAX_VOTERS && distinct;
         if (agreed && !usable) {
             throw zones.invalid(
-                    "voters", "are not an odd number up to " + MAX_VOTERS + ", each named once");
+                    "voters", "must be an odd number of different members, at most " + MAX_VOTERS);
         }
         return voters;
     }
@@ -343,7 +343,7 @@
         try {
             return folder.resolve(recovery.requiredText("folder"));
         } catch (InvalidPathException e) {
-            throw recovery.invalid("folder", "is no path");
+            throw recovery.invalid("folder", "is not a valid path");
         }
     }
 }
--- a/src/main/java/cairnbridge/config/JsonObject.java
+++ b/src/main/java/cairnbridge/config/JsonObject.java
@@ -88,7 +88,7 @@
 
     /** Returns the string at a key, or the default if the key is absent. */
     public String text(String key, String defaultValue) {
-        String value = valueOfType(key, String.class, "a text");
+        String value = valueOfType(key, String.class, "a string");
         return value == null ? defaultValue : value;
     }
 
@@ -105,7 +105,7 @@
 
     /** Returns the list of strings at a key, an empty one if the key is absent. */
     public List<String> texts(String key) {
-        return list(key, String.class, "a list of texts");
+        return list(key, String.class, "a list of strings");
     }
 
     /** Returns the list of objects at a key, an empty one if the key is absent. */
--- a/src/main/java/cairnbridge/config/ProxyConfigReader.java
+++ b/src/main/java/cairnbridge/config/ProxyConfigReader.java
@@ -159,7 +159,7 @@
                     .filter(path -> !path.isEmpty())
                     .map(Path::of);
         } catch (InvalidPathException e) {
-            throw root.invalid(WARM_START_KEY, "is no path");
+            throw root.invalid(WARM_START_KEY, "is not a valid path");
         }
     }
 }
--- a/src/main/java/cairnbridge/config/SettingsValidator.java
+++ b/src/main/java/cairnbridge/config/SettingsValidator.java
@@ -61,7 +61,7 @@
             throw reports.invalid("columns", "has more than " + MAX_REPORT_COLUMNS);
         }
         if (new HashSet<>(columns).size() < columns.size()) {
-            throw reports.invalid("columns", "names one twice");
+            throw reports.invalid("columns", "contains a name twice");
         }
     }
 
--- a/src/main/java/cairnbridge/config/TomlFile.java
+++ b/src/main/java/cairnbridge/config/TomlFile.java
@@ -21,7 +21,8 @@
         } catch (JsonProcessingException e) {
             int line = e.getLocation() == null ? 0 : e.getLocation().getLineNr();
             String problem = e.getOriginalMessage().lines().findFirst().orElse("");
-            throw new ConfigurationException(name, "line " + line + " is no TOML: " + problem);
+            throw new ConfigurationException(
+                    name, "line " + line + " is not valid TOML: " + problem);
         }
     }
 }
--- a/src/main/java/cairnbridge/config/TomlTable.java
+++ b/src/main/java/cairnbridge/config/TomlTable.java
@@ -27,7 +27,7 @@
         }
         for (Map.Entry<String, JsonNode> field : node.properties()) {
             if (!keys.contains(field.getKey())) {
-                throw invalid(field.getKey(), "is no key of this table");
+                throw invalid(field.getKey(), "is not a key of this table");
             }
         }
     }
@@ -44,7 +44,7 @@
     String text(String key, String defaultValue) {
         JsonNode value = node.path(key);
         if (!value.isMissingNode() && !value.isTextual()) {
-            throw invalid(key, "is not a text");
+            throw invalid(key, "is not a string");
         }
         return value.isMissingNode() ? defaultValue : value.asText();
     }
--- a/src/test/java/cairnbridge/config/FleetConfigTest.java
+++ b/src/test/java/cairnbridge/config/FleetConfigTest.java
@@ -56,40 +56,41 @@
     @CsvSource(
             delimiter = '|',
             value = {
-                "cluster = 7 | fleet.cluster: is not a text",
+                "cluster = 7 | fleet.cluster: is not a string",
                 "cluster = \"\" | fleet.cluster: is not set",
                 "bind = \"here:1\" | fleet.bind: is not an address and a port: here:1",
                 "secret-file = \"none\" | fleet.secret-file: cannot be read: none",
                 "secret-file = \"short\" | fleet.secret-file: holds fewer than 16 bytes: short",
-                "name = \"a b\" | fleet.name: is no member's name: a b",
+                "name = \"a b\" | fleet.name: is not a valid member name: a b",
                 "advertise = \"10.0.0.1\" | fleet.advertise: is not an address and a port:"
                         + " 10.0.0.1",
                 "seeds = \"10.0.0.1:1\" | fleet.seeds: is not a list",
                 "seeds = [\"x\"] | fleet.seeds: is not an address and a port: x",
                 "protocol = 3 | fleet.protocol: is not a number from 1 to 2",
                 "bytes-per-s = 10 | fleet.bytes-per-s: is not a number from 2000 to 1000000000",
-                "zone-s = [] | fleet.zone-s: is no key of this table",
+                "zone-s = [] | fleet.zone-s: is not a key of this table",
                 "zones = 3 | fleet.zones: is not a table",
-                "zones.voters = [\"p1\", \"p2\"] | fleet.zones.voters: are not an odd number up to"
-                        + " 9, each named once",
-                "zones.voters = [\"p 1\"] | fleet.zones.voters: has what is no member's name: p 1",
+                "zones.voters = [\"p1\", \"p2\"] | fleet.zones.voters: must be an odd number of"
+                        + " different members, at most 9",
+                "zones.voters = [\"p 1\"] | fleet.zones.voters: contains an invalid member"
+                        + " name: p 1",
                 "zones.voters = [\"p1\"] | fleet.zones.node-ops-per-s: is not a number from 0.001"
                         + " to 1000000000",
-                "zones.hold = 3 | fleet.zones.hold: is no key of this table",
+                "zones.hold = 3 | fleet.zones.hold: is not a key of this table",
                 "recovery = 3 | fleet.recovery: is not a table",
                 "recovery.most-age-s = 3 | fleet.recovery.folder: is not set",
                 "recovery = {folder = \"s\", most-age-s = 0} | fleet.recovery.most-age-s: is not a "
                         + "number from 1 to 1000000",
-                "recovery = {folder = \"s\", origin = 4} | fleet.recovery.origin: is no key of this"
-                        + " table",
+                "recovery = {folder = \"s\", origin = 4} | fleet.recovery.origin: is not a key of"
+                        + " this table",
                 "view = 3 | fleet.view: is not a table",
                 "view.probe-every-s = \"1\" | fleet.view.probe-every-s: is not a number from 0.05"
                         + " to 1000000",
-                "view.probe-timeout-s = 0.4 | fleet.view.probe-timeout-s: is over half of"
+                "view.probe-timeout-s = 0.4 | fleet.view.probe-timeout-s: is more than half of"
                         + " probe-every-s",
                 "view.datagram = 100 | fleet.view.datagram: is not a number from 1000 to 8000",
                 "use.shares = 1 | fleet.use.shares: is not true or false",
-                "use.sharse = true | fleet.use.sharse: is no key of this table",
+                "use.sharse = true | fleet.use.sharse: is not a key of this table",
                 "routes.\"10.0.0.1:1\" = \"x\" | fleet.routes: is not an address and a port: x"
             })
     void anErrorMessageBeginsWithTheFaultyKey(String line, String expectedMessage) {
@@ -129,7 +130,7 @@
                         ConfigurationException.class,
                         () -> FleetConfig.parse(MINIMAL_CONFIG + "seeds = [\n=\n", folder, "p"));
         assertTrue(
-                exception.getMessage().startsWith("fleet: line 5 is no TOML: "),
+                exception.getMessage().startsWith("fleet: line 5 is not valid TOML: "),
                 exception.getMessage());
         assertFalse(exception.getMessage().contains("\n"));
     }
--- a/src/test/java/cairnbridge/lab/LabTest.java
+++ b/src/test/java/cairnbridge/lab/LabTest.java
@@ -318,7 +318,7 @@
                 "polices = [] | experiment.polices: is no key of an experiment",
                 "scenarios = [] | experiment.scenarios: is not a list of at least one",
                 "scenarios = [\"none.drill\"] | experiment.scenarios: cannot be read: none.drill",
-                "title = | experiment: line 1 is no TOML"
+                "title = | experiment: line 1 is not valid TOML"
             })
     void aFaultyExperimentIsNamedByItsKey(String line, String fault) throws Exception {
         String text =
--- a/src/test/java/cairnbridge/proxy/ProxyTest.java
+++ b/src/test/java/cairnbridge/proxy/ProxyTest.java
@@ -798,7 +798,8 @@
                 "{'settings':{CATEGORIES,'limits':{'keepalive-s':0}}} | limits.keepalive-s: is not"
                         + " above 0",
                 "{'settings':{CATEGORIES,'instances':0},FREE} | settings.instances: is under 1",
-                "{'settings':{CATEGORIES},FREE,'learnt':'\\u0000'} | LB_CONFIG.learnt: is no path",
+                "{'settings':{CATEGORIES},FREE,'learnt':'\\u0000'} | LB_CONFIG.learnt: is not a"
+                        + " valid path",
                 "{'settings':{CATEGORIES,'prices':{'waste':-1}},FREE} | settings.prices.waste: is"
                         + " under 0",
                 "{'settings':{CATEGORIES,'registry-mode':'ask'},FREE} | settings.registry-mode: is"
@@ -812,7 +813,7 @@
                 "{'settings':{CATEGORIES,'limits':{'second-copies':'no'}},FREE} |"
                         + " limits.second-copies: is not true",
                 "{'settings':{CATEGORIES,'load-info':{'columns':['qps','qps']}},FREE} | columns:"
-                        + " names one twice",
+                        + " contains a name twice",
                 "{'settings':{CATEGORIES,'load-info':{'how':'guess'}},FREE} | load-info.how: is"
                         + " none of",
                 "{'settings':{CATEGORIES,'tenants':[{'quota-per-s':-1}]},FREE} | quota-per-s: is"
