--- a/src/main/java/cairnbridge/cbor/CborReader.java
+++ b/src/main/java/cairnbridge/cbor/CborReader.java
@@ -6,7 +6,7 @@
 
 /**
  * Reads the next field of a CBOR array as a value of the expected type. Every method throws an
- * {@link IOException} if the input contains a value of another type.
+ * {@link IOException} if the next token has another type.
  */
 public final class CborReader {
     private CborReader() {}
--- a/src/main/java/cairnbridge/config/FleetConfig.java
+++ b/src/main/java/cairnbridge/config/FleetConfig.java
@@ -13,8 +13,8 @@
 import java.util.Optional;
 
 /**
- * The configuration of a fleet and of this member, read from a file such as {@code
- * deploy/fleet.toml}.
+ * The configuration of a fleet and of this member, read from a TOML file; {@code deploy/fleet.toml}
+ * is an example.
  *
  * @param transport the identity of this member, its cluster and its addresses
  * @param membership the parameters of the membership protocol
@@ -38,7 +38,7 @@
      * The features that use the fleet's membership view.
      *
      * @param quotasFollowFleet whether fleet-wide limits are divided among the live members
-     * @param suspectsNodes whether nodes that most members cannot reach are avoided
+     * @param suspectsNodes whether nodes that most members cannot reach are suspected
      * @param sharesHealthChecks whether each node is checked by only one member of a zone
      * @param healthCheckInterval the time between two health checks of a node, in ticks
      * @param sharesDiscoveryPolls whether only a few members poll discovery while it does not
--- a/src/main/java/cairnbridge/config/ProxyConfig.java
+++ b/src/main/java/cairnbridge/config/ProxyConfig.java
@@ -23,7 +23,7 @@
  *     discovery's answers
  * @param warmStartFile the file in which a process saves its warm start state for the next process;
  *     empty if the state is not saved
- * @param stateFolder the folder that successive processes of this proxy share; empty if not set
+ * @param stateFolder the folder that all processes of this proxy share; empty if not set
  */
 public record ProxyConfig(
         String name,
--- a/src/main/java/cairnbridge/simulation/EventQueue.java
+++ b/src/main/java/cairnbridge/simulation/EventQueue.java
@@ -52,7 +52,7 @@
 
     /**
      * Runs every event due at or before the given time, including those scheduled meanwhile, and
-     * then sets the clock to that time.
+     * then advances the clock to that time.
      */
     public void runUntil(long time) {
         while (!events.isEmpty() && events.peek().time() <= time) {
