--- a/src/main/java/cairnbridge/config/WarmStartFile.java
+++ b/src/main/java/cairnbridge/config/WarmStartFile.java
@@ -41,8 +41,7 @@
             return parse(JsonObject.parse(Files.readString(file), NAME_IN_MESSAGES));
         } catch (IOException | ConfigurationException | NumberFormatException e) {
             // Guards against a start that fails on an invalid file, although the process can
-            // measure
-            // the state again.
+            // measure the state again.
             LOG.log(
                     Level.WARNING,
                     "warm start: the file cannot be used, starting without it: {0}",
