--- a/src/main/java/cairnbridge/cli/Main.java
+++ b/src/main/java/cairnbridge/cli/Main.java
@@ -9,7 +9,7 @@
 import cairnbridge.drill.scenario.ScenarioFault;
 import cairnbridge.proxy.ClassDataArchive;
 import cairnbridge.proxy.ProxyServer;
-import cairnbridge.recovery.StateKeeper;
+import cairnbridge.recovery.DurableState;
 import java.io.IOException;
 import java.util.Optional;
 import java.util.concurrent.Callable;
@@ -138,22 +138,26 @@
             ClassDataArchive.logIfUnused();
             ProxyConfig config = ProxyConfig.read(System.getenv());
             FleetConfig member = fleet == null ? null : FleetConfig.read(fleet, config.name());
-            Optional<StateKeeper> keeper = member == null ? Optional.empty() : keeper(member);
+            Optional<DurableState> durableState =
+                    member == null ? Optional.empty() : openDurableState(member);
             ProxyServer serve =
                     new ProxyServer(
                             config,
                             Main::end,
-                            keeper.map(StateKeeper::learntTrust).orElse(WarmStartState.EMPTY));
+                            durableState
+                                    .map(DurableState::restoredWarmStartState)
+                                    .orElse(WarmStartState.EMPTY));
             try {
                 if (member != null) {
                     serve.joinFleet(
-                            keeper.map(
+                            durableState
+                                    .map(
                                             mine ->
                                                     member.withPersisted(
                                                             mine.generation(),
-                                                            mine.rememberedEndpoints()))
+                                                            mine.persistedPeerEndpoints()))
                                     .orElse(member),
-                            keeper);
+                            durableState);
                 }
                 // Guards against the machine's own answer to SIGHUP, which is to end.
                 ReloadTrigger.install(
@@ -171,11 +175,12 @@
         }
     }
 
-    private static Optional<StateKeeper> keeper(FleetConfig member) throws InterruptedException {
+    private static Optional<DurableState> openDurableState(FleetConfig member)
+            throws InterruptedException {
         return member.recovery().isEmpty()
                 ? Optional.empty()
                 : Optional.of(
-                        StateKeeper.open(
+                        DurableState.open(
                                 member.recovery().get(),
                                 member.transport().identity().generation(),
                                 line -> Logger.getLogger(Main.class.getName()).info(line)));
--- a/src/main/java/cairnbridge/config/WarmStartFile.java
+++ b/src/main/java/cairnbridge/config/WarmStartFile.java
@@ -50,11 +50,13 @@
     }
 
     private static WarmStartState parse(JsonObject root) {
-        Map<NodeId, WarmStartState.Trust> nodes = new HashMap<>();
+        Map<NodeId, WarmStartState.SavedHealth> nodes = new HashMap<>();
         for (JsonObject node : root.objects(NODES)) {
             NodeId id = new NodeId(Long.parseUnsignedLong(node.text(NODE_ID, ""), ID_RADIX));
             nodes.put(
-                    id, new WarmStartState.Trust((long) node.number(NODE_STARTED, 0), share(node)));
+                    id,
+                    new WarmStartState.SavedHealth(
+                            (long) node.number(NODE_STARTED, 0), share(node)));
         }
         return new WarmStartState(
                 (long) root.number(TIME, 0), Math.max(0, root.number(ORIGIN_LATENCY, 0)), 0, nodes);
@@ -88,7 +90,7 @@
         generator.writeNumberField(TIME, learnt.recordedAt());
         generator.writeNumberField(ORIGIN_LATENCY, learnt.originLatency());
         generator.writeArrayFieldStart(NODES);
-        for (Map.Entry<NodeId, WarmStartState.Trust> node : learnt.nodes().entrySet()) {
+        for (Map.Entry<NodeId, WarmStartState.SavedHealth> node : learnt.nodes().entrySet()) {
             generator.writeStartObject();
             generator.writeStringField(NODE_ID, Long.toHexString(node.getKey().value()));
             generator.writeNumberField(NODE_STARTED, node.getValue().startedAt());
--- a/src/main/java/cairnbridge/decision/NodeRegistry.java
+++ b/src/main/java/cairnbridge/decision/NodeRegistry.java
@@ -42,8 +42,8 @@
     }
 
     /** The health of each server, for the warm start of the next router. */
-    Map<NodeId, WarmStartState.Trust> savedHealth() {
-        Map<NodeId, WarmStartState.Trust> health = new HashMap<>();
+    Map<NodeId, WarmStartState.SavedHealth> savedHealth() {
+        Map<NodeId, WarmStartState.SavedHealth> health = new HashMap<>();
         nodes.forEach((id, node) -> health.put(id, node.savedHealth()));
         return health;
     }
--- a/src/main/java/cairnbridge/decision/ServerNode.java
+++ b/src/main/java/cairnbridge/decision/ServerNode.java
@@ -55,12 +55,12 @@
         this.id = id;
         this.context = context;
         health = new NodeHealth(context, this);
-        WarmStartState.Trust trust = context.warmStart.nodes().get(id);
-        if (trust != null) {
+        WarmStartState.SavedHealth savedHealth = context.warmStart.nodes().get(id);
+        if (savedHealth != null) {
             // If the endpoint list contains a later start, restarted() discards the restored
             // health.
-            startedAt = trust.startedAt();
-            health.restore(trust.acceptedShare(), context.warmStartWeight());
+            startedAt = savedHealth.startedAt();
+            health.restore(savedHealth.acceptedShare(), context.warmStartWeight());
         }
     }
 
@@ -97,8 +97,8 @@
         return inFlight;
     }
 
-    WarmStartState.Trust savedHealth() {
-        return new WarmStartState.Trust(startedAt, health.acceptedShare());
+    WarmStartState.SavedHealth savedHealth() {
+        return new WarmStartState.SavedHealth(startedAt, health.acceptedShare());
     }
 
     /** Applies the endpoint list's entry for this server. */
--- a/src/main/java/cairnbridge/decision/TimeBudget.java
+++ b/src/main/java/cairnbridge/decision/TimeBudget.java
@@ -11,19 +11,19 @@
      * The acceptance limit for the endpoint list: the proxy must know a change at most this long
      * after discovery has it and is reachable.
      */
-    public static final long NOTIFIED_MILLIS = 6000;
+    public static final long LIST_CHANGE_LIMIT_MILLIS = 6000;
 
     /** The interval at which discovery writes an empty line to an idle watch. */
     public static final long HEARTBEAT_MILLIS = 2000;
 
     /** The part of each limit that is reserved for a busy process and for delivering the change. */
-    public static final long NOTIFIED_SLACK_MILLIS = NOTIFIED_MILLIS / 6;
+    public static final long LIST_CHANGE_SLACK_MILLIS = LIST_CHANGE_LIMIT_MILLIS / 6;
 
     /**
      * The interval at which a call to discovery is checked; silence is detected at most this much
      * late.
      */
-    public static final long CHECK_INTERVAL_MILLIS = NOTIFIED_MILLIS / 60;
+    public static final long CHECK_INTERVAL_MILLIS = LIST_CHANGE_LIMIT_MILLIS / 60;
 
     /**
      * The time without data after which a watch counts as silent: a heartbeat that is three
@@ -36,15 +36,18 @@
      * connection is not established.
      */
     public static final long CALL_TIMEOUT_MILLIS =
-            NOTIFIED_MILLIS - NOTIFIED_SLACK_MILLIS - WATCH_SILENCE_MILLIS - CHECK_INTERVAL_MILLIS;
+            LIST_CHANGE_LIMIT_MILLIS
+                    - LIST_CHANGE_SLACK_MILLIS
+                    - WATCH_SILENCE_MILLIS
+                    - CHECK_INTERVAL_MILLIS;
 
     /**
      * The maximum delay between a call to discovery that hangs while discovery recovers and the
      * call that fetches the change.
      */
     public static final long MAX_RETRY_WAIT_MILLIS =
-            NOTIFIED_MILLIS
-                    - NOTIFIED_SLACK_MILLIS
+            LIST_CHANGE_LIMIT_MILLIS
+                    - LIST_CHANGE_SLACK_MILLIS
                     - 2 * CALL_TIMEOUT_MILLIS
                     - CHECK_INTERVAL_MILLIS;
 
@@ -61,10 +64,10 @@
      * The acceptance limit for a reload: after SIGHUP, the proxy must know the endpoint list of
      * discovery's new address at most this much later.
      */
-    public static final long RELOAD_NOTIFIED_MILLIS = 4000;
+    public static final long RELOAD_LIMIT_MILLIS = 4000;
 
     /** The interval at which the configuration file is checked where SIGHUP cannot be received. */
-    public static final long RELOAD_POLL_MILLIS = RELOAD_NOTIFIED_MILLIS / 16;
+    public static final long RELOAD_POLL_MILLIS = RELOAD_LIMIT_MILLIS / 16;
 
     /**
      * The longest TTL that the platform takes into account when it sets the time from SIGTERM to
--- a/src/main/java/cairnbridge/decision/WarmStartState.java
+++ b/src/main/java/cairnbridge/decision/WarmStartState.java
@@ -14,7 +14,10 @@
  * @param nodes the health of each server
  */
 public record WarmStartState(
-        long recordedAt, double originLatency, double sendsPerSecond, Map<NodeId, Trust> nodes) {
+        long recordedAt,
+        double originLatency,
+        double sendsPerSecond,
+        Map<NodeId, SavedHealth> nodes) {
     /** The empty state, for a router without a predecessor. */
     public static final WarmStartState EMPTY = new WarmStartState(0, 0, 0, Map.of());
 
@@ -25,5 +28,5 @@
      * @param acceptedShare the share of the offered requests that the server accepts, 1 for a
      *     healthy server
      */
-    public record Trust(long startedAt, double acceptedShare) {}
+    public record SavedHealth(long startedAt, double acceptedShare) {}
 }
--- a/src/main/java/cairnbridge/fleet/FleetMember.java
+++ b/src/main/java/cairnbridge/fleet/FleetMember.java
@@ -194,7 +194,7 @@
             }
             zones.ifPresent(member -> member.viewPublished(view, now));
             if (config.uses().sharesHealthChecks()) {
-                List<Long> nodes = proxy.servers().stream().map(ListedNode::id).toList();
+                List<Long> nodes = proxy.listedNodes().stream().map(ListedNode::id).toList();
                 healthChecks.dueTasks(view, nodes, now).forEach(proxy::probe);
             }
         }
--- a/src/main/java/cairnbridge/fleet/FleetStatusFormatter.java
+++ b/src/main/java/cairnbridge/fleet/FleetStatusFormatter.java
@@ -214,7 +214,7 @@
         metrics.put("fleet.stood_still_total", counters.pauses());
         metrics.put("fleet.bytes_sent_total", transport.bytesSent());
         metrics.put("fleet.bytes_received_total", transport.bytesReceived());
-        metrics.put("fleet.over_budget_total", transport.overBudget());
+        metrics.put("fleet.over_budget_total", transport.datagramsOverLimit());
         metrics.put("fleet.failures_total", transport.failures());
         for (RejectionReason reason : RejectionReason.values()) {
             metrics.put(
--- a/src/main/java/cairnbridge/fleet/transport/TransportMetrics.java
+++ b/src/main/java/cairnbridge/fleet/transport/TransportMetrics.java
@@ -49,7 +49,7 @@
     }
 
     /** Datagrams that were not sent because of the limit of bytes per second. */
-    public long overBudget() {
+    public long datagramsOverLimit() {
         return datagramsOverLimit.sum();
     }
 
--- a/src/main/java/cairnbridge/lab/model/ZonesModel.java
+++ b/src/main/java/cairnbridge/lab/model/ZonesModel.java
@@ -140,7 +140,7 @@
                         home,
                         zones.plan().routeOf(home),
                         ZoneRouter.unreachableZones(
-                                servers(),
+                                listedNodes(),
                                 tally.reachability().unreachableNodes(),
                                 tally.reachability().unreachableZones()),
                         config.reroutedShare());
@@ -180,7 +180,7 @@
     }
 
     @Override
-    public List<ListedNode> servers() {
+    public List<ListedNode> listedNodes() {
         return List.copyOf(servers.values());
     }
 
--- a/src/main/java/cairnbridge/lab/run/FleetSide.java
+++ b/src/main/java/cairnbridge/lab/run/FleetSide.java
@@ -20,12 +20,12 @@
 import cairnbridge.lab.model.ReturnModel;
 import cairnbridge.lab.model.RosterModel;
 import cairnbridge.lab.model.ZonesModel;
+import cairnbridge.recovery.DurableState;
 import cairnbridge.recovery.FleetSnapshot;
 import cairnbridge.recovery.RecoveryCoordinator;
 import cairnbridge.recovery.RecoveryPhase;
 import cairnbridge.recovery.RecoverySettings;
 import cairnbridge.recovery.RestoredState;
-import cairnbridge.recovery.StateKeeper;
 import cairnbridge.recovery.StateValidator;
 import cairnbridge.simulation.EventQueue;
 import cairnbridge.store.PersistedState;
@@ -360,7 +360,7 @@
         long every = recovery.get().store().snapshotIntervalMillis();
         long at = agenda.now() / EventQueue.MILLI / every * every;
         List<PersistedState.Peer> peers =
-                StateKeeper.persistedPeers(members.get(name).machine.view());
+                DurableState.persistedPeers(members.get(name).machine.view());
         ReturnModel.Listed list = proxy.back().held();
         disks.put(
                 name,
--- a/src/main/java/cairnbridge/proxy/ClientConnections.java
+++ b/src/main/java/cairnbridge/proxy/ClientConnections.java
@@ -19,7 +19,7 @@
 
     private final DescriptorBudget budget;
     private final RequestHandlerFactory handlerFactory;
-    private final BudgetListener budgetListener;
+    private final DescriptorBudgetListener descriptorBudgetListener;
     private final ListenerState listenerState;
     private final Set<ClientConnection> connections = ConcurrentHashMap.newKeySet();
 
@@ -32,16 +32,16 @@
      * Creates an empty set of connections.
      *
      * @param handlerFactory creates the handler of each request
-     * @param budgetListener notified when an idle connection to a server should be closed
+     * @param descriptorBudgetListener notified when an idle connection to a server should be closed
      */
     ClientConnections(
             DescriptorBudget budget,
             RequestHandlerFactory handlerFactory,
-            BudgetListener budgetListener,
+            DescriptorBudgetListener descriptorBudgetListener,
             ListenerState listenerState) {
         this.budget = budget;
         this.handlerFactory = handlerFactory;
-        this.budgetListener = budgetListener;
+        this.descriptorBudgetListener = descriptorBudgetListener;
         this.listenerState = listenerState;
     }
 
@@ -113,7 +113,7 @@
     private void freeDescriptors() {
         if (lingeringSessions.isEmpty()) {
             closeIdleClient();
-            budgetListener.descriptorBudgetExceeded();
+            descriptorBudgetListener.descriptorBudgetExceeded();
         } else {
             // Each session is removed from the queue when it is disconnected.
             lingeringSessions.forEach(LingeringSession::release);
--- a/src/main/java/cairnbridge/proxy/ConnectionReactor.java
+++ b/src/main/java/cairnbridge/proxy/ConnectionReactor.java
@@ -65,14 +65,14 @@
      * Creates a reactor without starting it.
      *
      * @param handlerFactory creates the handler of each request of a client
-     * @param budgetListener notified when an idle connection to a server should be closed
+     * @param descriptorBudgetListener notified when an idle connection to a server should be closed
      * @param connectionListener notified when connections to servers are closed
      * @param threadFactory creates the thread of the reactor and that of the listener
      */
     ConnectionReactor(
             ProxyConfig config,
             RequestHandlerFactory handlerFactory,
-            BudgetListener budgetListener,
+            DescriptorBudgetListener descriptorBudgetListener,
             ConnectionListener connectionListener,
             ListenerState listenerState,
             ThreadFactory threadFactory) {
@@ -80,7 +80,9 @@
         this.threadFactory = threadFactory;
         backlog = config.network().maxSockets();
         budget = new DescriptorBudget(config.network());
-        clients = new ClientConnections(budget, handlerFactory, budgetListener, listenerState);
+        clients =
+                new ClientConnections(
+                        budget, handlerFactory, descriptorBudgetListener, listenerState);
         IOReactorConfig ioConfig =
                 IOReactorConfig.custom()
                         .setIoThreadCount(1)
@@ -270,7 +272,7 @@
     }
 
     /** See {@link ClientConnections#closeAllGracefully}. */
-    void finishClients() {
+    void closeClientsGracefully() {
         clients.closeAllGracefully();
     }
 
--- a/src/main/java/cairnbridge/proxy/CriticalThreads.java
+++ b/src/main/java/cairnbridge/proxy/CriticalThreads.java
@@ -51,7 +51,7 @@
     }
 
     /** Marks the proxy as stopping: from now on a thread that ends is no error. */
-    void allowEnds() {
+    void markStopping() {
         stopping = true;
     }
 
--- a/src/main/java/cairnbridge/proxy/DiscoveryWatch.java
+++ b/src/main/java/cairnbridge/proxy/DiscoveryWatch.java
@@ -16,7 +16,7 @@
 import cairnbridge.decision.Ids.ZoneId;
 import cairnbridge.decision.TimeBudget;
 import cairnbridge.hash.Fnv1a;
-import cairnbridge.recovery.EndpointListHistory;
+import cairnbridge.recovery.EndpointListAssembler;
 import cairnbridge.zones.plan.ListedNode;
 import cairnbridge.zones.plan.Zone;
 import java.net.InetSocketAddress;
@@ -74,7 +74,7 @@
     private volatile long versionFloor;
 
     /** Null if endpoint lists are not persisted across a power loss. */
-    private EndpointListHistory history;
+    private EndpointListAssembler endpointListAssembler;
 
     private long backoffMillis = TimeBudget.MIN_BACKOFF_MILLIS;
     private boolean started;
@@ -191,8 +191,8 @@
     }
 
     /** Sets where received lists are recorded for persistence; to be called before the start. */
-    void setHistory(EndpointListHistory endpointLists) {
-        history = endpointLists;
+    void setEndpointListAssembler(EndpointListAssembler assembler) {
+        endpointListAssembler = assembler;
     }
 
     /** Sets the lowest version of discovery's lists that is used from now on. */
@@ -213,7 +213,7 @@
                     try {
                         publishList(JsonObject.parse(text, "persisted list"), ListScope.CACHED);
                         listCurrent = false; // The first call requests the whole list.
-                        history.lineReceived(text);
+                        endpointListAssembler.lineReceived(text);
                     } catch (ConfigurationException e) {
                         LOG.warning("roster: a list from before cannot be used: " + e.getMessage());
                     }
@@ -358,8 +358,8 @@
                 return;
             }
             discoveryListReceived = true;
-            if (history != null) {
-                history.lineReceived(text);
+            if (endpointListAssembler != null) {
+                endpointListAssembler.lineReceived(text);
             }
             publishList(tree, tree.flag("all") ? ListScope.FULL : ListScope.CHANGES);
             backoffMillis = TimeBudget.MIN_BACKOFF_MILLIS;
@@ -511,7 +511,7 @@
     }
 
     /** One call to discovery: the long-lived watch, or a single request for the list. */
-    private final class DiscoveryCall extends HttpGet {
+    private final class DiscoveryCall extends InternalRequest {
         private final InetSocketAddress address;
         private final boolean isWatch;
         private final long startedAtNanos = System.nanoTime();
--- a/src/main/java/cairnbridge/proxy/EventQueue.java
+++ b/src/main/java/cairnbridge/proxy/EventQueue.java
@@ -21,7 +21,7 @@
                 ConnectionListener,
                 HealthCheckListener,
                 EndpointListListener,
-                BudgetListener {
+                DescriptorBudgetListener {
     private final BlockingQueue<ProxyEvent> events;
     private final Queue<ProxyEvent> urgentEvents = new ConcurrentLinkedQueue<>();
 
--- a/src/main/java/cairnbridge/proxy/FleetLink.java
+++ b/src/main/java/cairnbridge/proxy/FleetLink.java
@@ -96,7 +96,7 @@
     }
 
     @Override
-    public List<ListedNode> servers() {
+    public List<ListedNode> listedNodes() {
         return discoveryWatch.listedCaches();
     }
 
--- a/src/main/java/cairnbridge/proxy/GracefulShutdown.java
+++ b/src/main/java/cairnbridge/proxy/GracefulShutdown.java
@@ -91,7 +91,7 @@
         listenerState.startDraining();
         divertNewConnections();
         Thread.sleep(CLOSE_GRACE_MILLIS);
-        criticalThreads.allowEnds();
+        criticalThreads.markStopping();
         reactor.stopListening();
     }
 
@@ -100,7 +100,7 @@
      * connection is closed with its next response.
      */
     private void drainToSuccessor(long deadlineNanos) throws InterruptedException {
-        criticalThreads.allowEnds();
+        criticalThreads.markStopping();
         listenerState.startDraining();
         LOG.log(Level.INFO, "{0} hands over to its successor", components.config().name());
         divertNewConnections();
--- a/src/main/java/cairnbridge/proxy/HealthCheck.java
+++ b/src/main/java/cairnbridge/proxy/HealthCheck.java
@@ -45,7 +45,7 @@
         }
     }
 
-    private final class PendingCheck extends HttpGet {
+    private final class PendingCheck extends InternalRequest {
         private final NodeId node;
         private final long startedAtTicks;
         private int statusCode;
--- a/src/main/java/cairnbridge/proxy/HttpGet.java
+++ b/src/main/java/cairnbridge/proxy/InternalRequest.java
@@ -20,7 +20,7 @@
  * A request that the proxy itself originates: to discovery, as a health check or for the warm-up.
  * It is a GET request unless a body to PUT is set; its response body is parsed line by line.
  */
-abstract class HttpGet extends UpstreamExchange {
+abstract class InternalRequest extends UpstreamExchange {
     private static final int MAX_LINE_BYTES = 8 << 20;
     private final String host;
     private final String target;
@@ -29,7 +29,7 @@
     private boolean requestStarted;
     private byte[] putBody;
 
-    HttpGet(InetSocketAddress address, String target) {
+    InternalRequest(InetSocketAddress address, String target) {
         this.host = address.getHostString() + ":" + address.getPort();
         this.target = target;
     }
--- a/src/main/java/cairnbridge/proxy/ProxyServer.java
+++ b/src/main/java/cairnbridge/proxy/ProxyServer.java
@@ -6,7 +6,7 @@
 import cairnbridge.config.ProxyConfig;
 import cairnbridge.decision.WarmStartState;
 import cairnbridge.fleet.coordination.FleetLoadCounters;
-import cairnbridge.recovery.StateKeeper;
+import cairnbridge.recovery.DurableState;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.Optional;
@@ -75,17 +75,17 @@
     /**
      * Makes this proxy a member of a fleet; called before the start.
      *
-     * @param stateKeeper the persisted state; empty if none is configured
+     * @param durableState the persisted state; empty if none is configured
      * @throws IOException if an address is not available; the message names the address
      */
-    public void joinFleet(FleetConfig fleetConfig, Optional<StateKeeper> stateKeeper)
+    public void joinFleet(FleetConfig fleetConfig, Optional<DurableState> durableState)
             throws IOException {
         FleetLoadCounters loadCounters =
                 new FleetLoadCounters(
                         config.names().zones(), config.settings(), components.clock().now());
         // Assigned before the join, so that stop() also stops it after a join that has failed.
-        if (stateKeeper.isPresent()) {
-            persistence = new StatePersistence(components, fleetConfig, stateKeeper.get());
+        if (durableState.isPresent()) {
+            persistence = new StatePersistence(components, fleetConfig, durableState.get());
         }
         fleet = FleetMembership.join(components, fleetConfig, loadCounters, persistence);
     }
@@ -157,7 +157,7 @@
      * answer in progress.
      */
     void finishClients() {
-        components.reactor().finishClients();
+        components.reactor().closeClientsGracefully();
     }
 
     @Override
@@ -226,7 +226,7 @@
 
     /** Stops everything at once, also after a failed start, and writes the warm start file. */
     public void stop() {
-        criticalThreads.allowEnds();
+        criticalThreads.markStopping();
         components.coordinator().stop();
         adminServer.ifPresent(AdminServer::stop);
         fleet.stop();
--- a/src/main/java/cairnbridge/proxy/RecoveryLink.java
+++ b/src/main/java/cairnbridge/proxy/RecoveryLink.java
@@ -10,13 +10,13 @@
 import cairnbridge.fleet.member.RecoveryProgress;
 import cairnbridge.fleet.membership.MembershipView;
 import cairnbridge.recovery.AdmissionDecision;
-import cairnbridge.recovery.EndpointListHistory;
+import cairnbridge.recovery.DurableState;
+import cairnbridge.recovery.EndpointListAssembler;
 import cairnbridge.recovery.FleetSnapshot;
 import cairnbridge.recovery.IncomingRequest;
 import cairnbridge.recovery.RecoveryCoordinator;
 import cairnbridge.recovery.RecoveryHost;
 import cairnbridge.recovery.RecoveryPhase;
-import cairnbridge.recovery.StateKeeper;
 import java.nio.charset.StandardCharsets;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -43,8 +43,8 @@
             long failedAsUnknown,
             long rejected) {}
 
-    private final StateKeeper stateKeeper;
-    private final EndpointListHistory endpointListHistory;
+    private final DurableState durableState;
+    private final EndpointListAssembler endpointListAssembler;
     private final DiscoveryWatch discoveryWatch;
     private final EventQueue eventQueue;
     private final RecoveryCoordinator coordinator;
@@ -63,22 +63,22 @@
      */
     RecoveryLink(
             ProxyConfig config,
-            StateKeeper stateKeeper,
+            DurableState durableState,
             String member,
             String zone,
-            EndpointListHistory endpointListHistory,
+            EndpointListAssembler endpointListAssembler,
             DiscoveryWatch discoveryWatch,
             EventQueue eventQueue,
             long nowTicks) {
-        this.stateKeeper = stateKeeper;
-        this.endpointListHistory = endpointListHistory;
+        this.durableState = durableState;
+        this.endpointListAssembler = endpointListAssembler;
         this.discoveryWatch = discoveryWatch;
         this.eventQueue = eventQueue;
         settings = config.settings();
         coordinator =
                 new RecoveryCoordinator(
-                        stateKeeper.settings(),
-                        stateKeeper.restored(),
+                        durableState.settings(),
+                        durableState.restored(),
                         new RecoveryCoordinator.Deployment(
                                 settings.categories(),
                                 settings.proxy().count(),
@@ -191,10 +191,10 @@
 
     @Override
     public void usePersistedList() {
-        String json = stateKeeper.restored().endpointList().json();
+        String json = durableState.restored().endpointList().json();
         if (!json.isEmpty()) {
             discoveryWatch.usePersistedList(
-                    EndpointListHistory.withStartTimes(json, System.currentTimeMillis()));
+                    EndpointListAssembler.withStartTimes(json, System.currentTimeMillis()));
         }
     }
 
@@ -235,7 +235,7 @@
     /** Passes a membership view to the owner thread; called on the fleet's thread. */
     @Override
     public void fleetChanged(MembershipView view) {
-        stateKeeper.store().checkDisk();
+        durableState.store().checkDisk();
         eventQueue.postUrgent(new ProxyEvent.FleetChanged(FleetSnapshot.of(view)));
     }
 
@@ -245,14 +245,14 @@
         return new RecoveryProgress(
                 status.phase().announced(),
                 isOver(status) ? 0 : status.originLimit(),
-                Math.max(stateKeeper.restored().epochFloor(), planEpoch));
+                Math.max(durableState.restored().epochFloor(), planEpoch));
     }
 
     /** Empty for a list that is not confirmed, so that other members do not get it. */
     @Override
     public byte[] confirmedEndpointList() {
         return published.endpointListConfirmed()
-                ? endpointListHistory.endpointList().getBytes(StandardCharsets.UTF_8)
+                ? endpointListAssembler.endpointList().getBytes(StandardCharsets.UTF_8)
                 : new byte[0];
     }
 
@@ -269,12 +269,12 @@
     String statusText() {
         StringBuilder text = new StringBuilder();
         published.statusLines().forEach(line -> text.append(line).append('\n'));
-        stateKeeper
+        durableState
                 .restored()
                 .report()
                 .forEach(line -> text.append("kept, ").append(line).append('\n'));
         text.append("disk ")
-                .append(stateKeeper.store().isHealthy() ? "keeps" : "does not keep")
+                .append(durableState.store().isHealthy() ? "keeps" : "does not keep")
                 .append('\n');
         return text.toString();
     }
@@ -282,7 +282,7 @@
     /** The metrics of the recovery and of the state store. */
     Map<String, Long> metrics() {
         PublishedStatus status = published;
-        Map<String, Long> metrics = new LinkedHashMap<>(stateKeeper.store().metrics().values());
+        Map<String, Long> metrics = new LinkedHashMap<>(durableState.store().metrics().values());
         metrics.put("recovery.phase", (long) status.phase().metricValue());
         metrics.put("recovery.confirmed", status.endpointListConfirmed() ? 1L : 0L);
         metrics.put("recovery.turned_away_total", status.rejected());
--- a/src/main/java/cairnbridge/proxy/StatePersistence.java
+++ b/src/main/java/cairnbridge/proxy/StatePersistence.java
@@ -4,8 +4,8 @@
 import cairnbridge.decision.Ids.NodeId;
 import cairnbridge.fleet.FleetMember;
 import cairnbridge.fleet.member.MemberId;
-import cairnbridge.recovery.EndpointListHistory;
-import cairnbridge.recovery.StateKeeper;
+import cairnbridge.recovery.DurableState;
+import cairnbridge.recovery.EndpointListAssembler;
 import cairnbridge.store.LogRecord;
 import cairnbridge.store.PersistedState;
 import java.util.Map;
@@ -18,15 +18,16 @@
  * from then on the store's thread calls it for each snapshot.
  */
 final class StatePersistence implements Persistence {
-    private final StateKeeper stateKeeper;
+    private final DurableState durableState;
     private final RecoveryLink recoveryLink;
-    private final EndpointListHistory endpointListHistory = new EndpointListHistory();
+    private final EndpointListAssembler endpointListAssembler = new EndpointListAssembler();
     private final MaintenanceMarkers maintenanceMarkers;
     private final RequestCoordinator coordinator;
 
     /** Connects the components of a proxy, before its start, to the persisted state. */
-    StatePersistence(ProxyComponents components, FleetConfig fleetConfig, StateKeeper stateKeeper) {
-        this.stateKeeper = stateKeeper;
+    StatePersistence(
+            ProxyComponents components, FleetConfig fleetConfig, DurableState durableState) {
+        this.durableState = durableState;
         maintenanceMarkers = components.maintenanceMarkers();
         coordinator = components.coordinator();
         long nowTicks = components.clock().now();
@@ -35,15 +36,15 @@
         recoveryLink =
                 new RecoveryLink(
                         components.config(),
-                        stateKeeper,
+                        durableState,
                         self.name(),
                         fleetConfig.location().zone(),
-                        endpointListHistory,
+                        endpointListAssembler,
                         discoveryWatch,
                         components.eventQueue(),
                         nowTicks);
-        discoveryWatch.setHistory(endpointListHistory);
-        discoveryWatch.setVersionFloor(stateKeeper.restored().endpointList().version());
+        discoveryWatch.setEndpointListAssembler(endpointListAssembler);
+        discoveryWatch.setVersionFloor(durableState.restored().endpointList().version());
         coordinator.setRecovery(recoveryLink);
         maintenanceMarkers.setStore(this::saveMaintenance);
     }
@@ -51,7 +52,7 @@
     private CompletableFuture<Boolean> saveMaintenance(NodeId node, boolean inMaintenance) {
         LogRecord.Kind kind =
                 inMaintenance ? LogRecord.Kind.MAINTENANCE_ON : LogRecord.Kind.MAINTENANCE_OFF;
-        return stateKeeper.store().append(kind, node.value());
+        return durableState.store().append(kind, node.value());
     }
 
     @Override
@@ -62,8 +63,8 @@
     @Override
     public FleetMember.PlanEpochs planEpochs() {
         return new FleetMember.PlanEpochs(
-                stateKeeper.restored().epochFloor(),
-                epoch -> stateKeeper.store().append(LogRecord.Kind.PLAN_EPOCH, epoch));
+                durableState.restored().epochFloor(),
+                epoch -> durableState.store().append(LogRecord.Kind.PLAN_EPOCH, epoch));
     }
 
     /**
@@ -73,12 +74,12 @@
     @Override
     public void start(FleetMember member) {
         recoveryLink.setMember(member);
-        maintenanceMarkers.restore(stateKeeper.restored().nodesInMaintenance());
-        stateKeeper
+        maintenanceMarkers.restore(durableState.restored().nodesInMaintenance());
+        durableState
                 .store()
                 .whenOpened(
                         state -> maintenanceMarkers.restore(state.logged().nodesInMaintenance()));
-        stateKeeper.store().snapshotFrom(() -> snapshot(member));
+        durableState.store().setSnapshotSource(() -> snapshot(member));
     }
 
     /**
@@ -92,20 +93,21 @@
         PersistedState.LoggedState logged =
                 new PersistedState.LoggedState(
                         0,
-                        stateKeeper.generation(),
+                        durableState.generation(),
                         member.planEpoch(),
                         maintenanceMarkers.nodesInMaintenance());
         PersistedState.Content content =
                 new PersistedState.Content(
-                        stateKeeper.bootId(),
+                        durableState.bootId(),
                         System.currentTimeMillis(),
                         new PersistedState.EndpointList(
-                                endpointListHistory.version(), endpointListHistory.endpointList()),
-                        StateKeeper.persistedPeers(member.view()),
+                                endpointListAssembler.version(),
+                                endpointListAssembler.endpointList()),
+                        DurableState.persistedPeers(member.view()),
                         member.encodedPlan(),
-                        StateKeeper.persistedTrust(coordinator.warmStartState()));
+                        DurableState.persistedTrust(coordinator.warmStartState()));
         return Optional.of(
-                new PersistedState(stateKeeper.settings().store().cluster(), logged, content));
+                new PersistedState(durableState.settings().store().cluster(), logged, content));
     }
 
     @Override
@@ -120,6 +122,6 @@
 
     @Override
     public void stop() throws InterruptedException {
-        stateKeeper.store().stop();
+        durableState.store().stop();
     }
 }
--- a/src/main/java/cairnbridge/proxy/Warmup.java
+++ b/src/main/java/cairnbridge/proxy/Warmup.java
@@ -232,7 +232,7 @@
             }
         }
 
-        private final class WarmupRequest extends HttpGet {
+        private final class WarmupRequest extends InternalRequest {
             private final String traceId;
 
             WarmupRequest(int number) {
--- a/src/main/java/cairnbridge/recovery/StateKeeper.java
+++ b/src/main/java/cairnbridge/recovery/DurableState.java
@@ -29,7 +29,7 @@
  * the state, validates it and persists the generation of this run. Opening waits no longer than 3 s
  * for a slow disk. Thread-safe.
  */
-public final class StateKeeper {
+public final class DurableState {
     private static final long MAX_OPEN_MILLIS = 2_000;
     private static final long MAX_GENERATION_MILLIS = 1_000;
     private static final long NO_WAIT_MILLIS = 1;
@@ -42,7 +42,7 @@
     private final long generation;
     private final String bootId = readBootId();
 
-    private StateKeeper(
+    private DurableState(
             RecoverySettings settings, StateStore store, long clockGeneration, Consumer<String> log)
             throws InterruptedException {
         this.settings = settings;
@@ -69,12 +69,12 @@
      *     used unless this one is above all persisted generations
      * @param log receives messages for operators; called by several threads
      */
-    public static StateKeeper open(
+    public static DurableState open(
             RecoverySettings settings, long clockGeneration, Consumer<String> log)
             throws InterruptedException {
         FileStorageDirectory directory = new FileStorageDirectory(settings.store().directory());
         StateStore store = new StateStore(settings.store(), directory, log);
-        return new StateKeeper(settings, store, clockGeneration, log);
+        return new DurableState(settings, store, clockGeneration, log);
     }
 
     private void persistGeneration(long maxMillis) throws InterruptedException {
@@ -123,19 +123,19 @@
     }
 
     /** The persisted measurements for a warm start of the router; empty if they are not usable. */
-    public WarmStartState learntTrust() {
+    public WarmStartState restoredWarmStartState() {
         if (!restored.isNodeTrustUsable()) {
             return WarmStartState.EMPTY;
         }
-        PersistedState.NodeTrust trust = persisted.content().nodeTrust();
-        Map<NodeId, WarmStartState.Trust> nodes = new HashMap<>();
-        for (PersistedState.Node node : trust.nodes()) {
+        PersistedState.NodeTrust nodeTrust = persisted.content().nodeTrust();
+        Map<NodeId, WarmStartState.SavedHealth> nodes = new HashMap<>();
+        for (PersistedState.Node node : nodeTrust.nodes()) {
             nodes.put(
                     new NodeId(node.id()),
-                    new WarmStartState.Trust(node.startedAt(), node.acceptedShare()));
+                    new WarmStartState.SavedHealth(node.startedAt(), node.acceptedShare()));
         }
         return new WarmStartState(
-                trust.recordedAt(), trust.originLatency(), trust.sendRate(), nodes);
+                nodeTrust.recordedAt(), nodeTrust.originLatency(), nodeTrust.sendRate(), nodes);
     }
 
     /** Converts the router's measurements to the form in which they are persisted. */
@@ -143,12 +143,12 @@
         List<PersistedState.Node> nodes = new ArrayList<>();
         measured.nodes()
                 .forEach(
-                        (id, trust) ->
+                        (id, savedHealth) ->
                                 nodes.add(
                                         new PersistedState.Node(
                                                 id.value(),
-                                                trust.startedAt(),
-                                                trust.acceptedShare())));
+                                                savedHealth.startedAt(),
+                                                savedHealth.acceptedShare())));
         return new PersistedState.NodeTrust(
                 measured.recordedAt(), measured.originLatency(), measured.sendsPerSecond(), nodes);
     }
@@ -157,7 +157,7 @@
     public static List<PersistedState.Peer> persistedPeers(MembershipView view) {
         return view.members().stream()
                 .filter(member -> !member.id().equals(view.self()))
-                .map(StateKeeper::persistedPeer)
+                .map(DurableState::persistedPeer)
                 .toList();
     }
 
@@ -171,7 +171,7 @@
     }
 
     /** The endpoints of persisted members; those that cannot be parsed are left out. */
-    public List<Endpoint> rememberedEndpoints() {
+    public List<Endpoint> persistedPeerEndpoints() {
         List<Endpoint> endpoints = new ArrayList<>();
         for (PersistedState.Peer peer : restored.contacts()) {
             try {
--- a/src/main/java/cairnbridge/recovery/EndpointListHistory.java
+++ b/src/main/java/cairnbridge/recovery/EndpointListAssembler.java
@@ -12,7 +12,7 @@
  * Assembles the lines of a discovery watch into one whole endpoint list in discovery's JSON format,
  * so that the list can be persisted and sent to other members. Thread-safe.
  */
-public final class EndpointListHistory {
+public final class EndpointListAssembler {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String VERSION = "rev";
     private static final String IS_WHOLE_LIST = "all";
--- a/src/main/java/cairnbridge/scale/control/HollowProxy.java
+++ b/src/main/java/cairnbridge/scale/control/HollowProxy.java
@@ -209,7 +209,7 @@
     }
 
     @Override
-    public List<ListedNode> servers() {
+    public List<ListedNode> listedNodes() {
         return servers;
     }
 
--- a/src/main/java/cairnbridge/store/StateStore.java
+++ b/src/main/java/cairnbridge/store/StateStore.java
@@ -16,8 +16,8 @@
 /**
  * Persists a proxy's state on a dedicated thread, the only one that blocks on disk I/O. {@link
  * #start} returns the state that was persisted. After that, the caller sets the source of snapshots
- * with {@link #snapshotFrom} and appends each change before it acknowledges the change to others.
- * Thread-safe.
+ * with {@link #setSnapshotSource} and appends each change before it acknowledges the change to
+ * others. Thread-safe.
  *
  * <p>A full, read-only or slow disk blocks no caller and is logged once per outage. The futures of
  * changes complete with false while writes fail, and later than usual while the disk is slow.
@@ -96,7 +96,7 @@
      * Sets the supplier of snapshots. The store's thread calls it, and writes no snapshot while it
      * returns empty.
      */
-    public void snapshotFrom(Supplier<Optional<PersistedState>> source) {
+    public void setSnapshotSource(Supplier<Optional<PersistedState>> source) {
         snapshotSource = source;
     }
 
--- a/src/main/java/cairnbridge/zones/ZoneMember.java
+++ b/src/main/java/cairnbridge/zones/ZoneMember.java
@@ -178,7 +178,7 @@
         MemberMetrics.Reachability reachability = proxy.reachability();
         Set<Zone> unreachable =
                 ZoneRouter.unreachableZones(
-                        proxy.servers(),
+                        proxy.listedNodes(),
                         reachability.unreachableNodes(),
                         reachability.unreachableZones());
         proxy.routeChanged(
@@ -219,8 +219,8 @@
         }
 
         @Override
-        public List<ListedNode> servers() {
-            return proxy.servers();
+        public List<ListedNode> listedNodes() {
+            return proxy.listedNodes();
         }
 
         @Override
--- a/src/main/java/cairnbridge/zones/ZonePlanCoordinator.java
+++ b/src/main/java/cairnbridge/zones/ZonePlanCoordinator.java
@@ -175,7 +175,7 @@
 
     /** Computes the plan that follows a given one; returns the given plan if nothing changes. */
     private Plan nextPlan(Plan from) {
-        List<ListedNode> nodes = host.servers();
+        List<ListedNode> nodes = host.listedNodes();
         // Guards against a member that has just started and takes zones for unreachable, because it
         // has no endpoint list yet, or because its first calls were late.
         if (nodes.isEmpty() || now - startedAt < START_DELAY) {
@@ -287,7 +287,7 @@
                         : "each by itself";
         boolean majority = !settings.consensus() || election.hasMajority(current);
         List<ZoneStatus> statuses =
-                health.evaluate(current.liveMembers(), host.servers(), now, unixMillis);
+                health.evaluate(current.liveMembers(), host.listedNodes(), now, unixMillis);
         return ZoneStatusFormatter.formatPlan(plan, current, proposerName, majority)
                 + ZoneStatusFormatter.formatStatuses(statuses);
     }
@@ -299,7 +299,7 @@
     public String execute(String command) {
         String[] tokens = command.split(" +");
         Zone zone = new Zone(tokens.length > 1 ? tokens[1] : "");
-        if (host.servers().stream().noneMatch(node -> node.zone().equals(zone))) {
+        if (host.listedNodes().stream().noneMatch(node -> node.zone().equals(zone))) {
             return "400 no such zone";
         }
         if (settings.consensus()) {
--- a/src/main/java/cairnbridge/zones/ZonePlanHost.java
+++ b/src/main/java/cairnbridge/zones/ZonePlanHost.java
@@ -26,7 +26,7 @@
     void persist(AcceptorState state, Consumer<Optional<String>> callback);
 
     /** The cache nodes of the endpoint list. */
-    List<ListedNode> servers();
+    List<ListedNode> listedNodes();
 
     /** Called when a new plan comes into force at this member. */
     void planChanged(Plan plan);
--- a/src/main/java/cairnbridge/zones/ZoneProxy.java
+++ b/src/main/java/cairnbridge/zones/ZoneProxy.java
@@ -8,7 +8,7 @@
 /** The proxy as {@link ZoneMember} uses it. No method blocks. */
 public interface ZoneProxy {
     /** The cache nodes of the endpoint list. */
-    List<ListedNode> servers();
+    List<ListedNode> listedNodes();
 
     /**
      * The nodes and zones that the proxy cannot reach, with the outcomes of its attempts by zone.
--- a/src/test/java/cairnbridge/config/WarmStartFileTest.java
+++ b/src/test/java/cairnbridge/config/WarmStartFileTest.java
@@ -18,9 +18,9 @@
     @TempDir Path folder;
 
     private static WarmStartState learnt(double sendRate) {
-        Map<NodeId, WarmStartState.Trust> nodes = new LinkedHashMap<>();
-        nodes.put(new NodeId(-7), new WarmStartState.Trust(16_999_999_990_000L, 0.5));
-        nodes.put(new NodeId(0x1f), new WarmStartState.Trust(0, 1));
+        Map<NodeId, WarmStartState.SavedHealth> nodes = new LinkedHashMap<>();
+        nodes.put(new NodeId(-7), new WarmStartState.SavedHealth(16_999_999_990_000L, 0.5));
+        nodes.put(new NodeId(0x1f), new WarmStartState.SavedHealth(0, 1));
         return new WarmStartState(17_000_001_234_560L, 123.5, sendRate, nodes);
     }
 
--- a/src/test/java/cairnbridge/decision/TimeBudgetTest.java
+++ b/src/test/java/cairnbridge/decision/TimeBudgetTest.java
@@ -13,7 +13,7 @@
  */
 class TimeBudgetTest {
     private static final long AVAILABLE_MILLIS =
-            TimeBudget.NOTIFIED_MILLIS - TimeBudget.NOTIFIED_SLACK_MILLIS;
+            TimeBudget.LIST_CHANGE_LIMIT_MILLIS - TimeBudget.LIST_CHANGE_SLACK_MILLIS;
 
     @Test
     void aSilentWatchIsReplacedAndTheChangeFetchedWithinTheLimit() {
--- a/src/test/java/cairnbridge/proxy/CloseRaceTest.java
+++ b/src/test/java/cairnbridge/proxy/CloseRaceTest.java
@@ -34,7 +34,7 @@
         final List<Socket> fillers = new ArrayList<>();
 
         FullBacklogNode() throws IOException {
-            opened.add(this);
+            closeables.add(this);
             // Linux queues one connection more than the backlog; further connects hang.
             for (int i = 0; i < 2; i++) {
                 fillers.add(new Socket(server.getInetAddress(), server.getLocalPort()));
@@ -80,8 +80,8 @@
             Socket[] client, CountDownLatch change, String state) throws Exception {
         connectSeconds = 5;
         FullBacklogNode node = new FullBacklogNode();
-        cache = new StandInServer(request -> HIT);
-        origin = new StandInServer(request -> "200 OK||fetched");
+        cache = new StubServer(request -> HIT);
+        origin = new StubServer(request -> "200 OK||fetched");
         String update =
                 endpointListJson(
                                 2,
@@ -90,7 +90,7 @@
                                 endpointJson("c", cache.address(), "cache", "Ready"))
                         + "\n";
         discovery =
-                new StandInServer(request -> "") {
+                new StubServer(request -> "") {
                     @Override
                     Void serve(Socket socket) throws IOException, InterruptedException {
                         requests.add(readMessage(socket));
@@ -285,7 +285,7 @@
         Process process = startProcess();
         int port = portFromLog(logOf(process));
         Socket client = new Socket(InetAddress.getLoopbackAddress(), port);
-        opened.add(client);
+        closeables.add(client);
         send(client, "GET /view/1", ttlHeader(60_000), "");
         waitUntil(() -> cache.requests.size() == 1);
         sendSignal(process, "TERM");
@@ -326,8 +326,8 @@
             })
     void aResponseCutOffByAResetIsNotASuccess(String head) throws Exception {
         start();
-        StandInServer resetting =
-                new StandInServer(request -> HIT) {
+        StubServer resetting =
+                new StubServer(request -> HIT) {
                     @Override
                     Void serve(Socket socket) throws IOException {
                         String request = readMessage(socket);
--- a/src/test/java/cairnbridge/proxy/DescriptorBudgetTest.java
+++ b/src/test/java/cairnbridge/proxy/DescriptorBudgetTest.java
@@ -63,7 +63,7 @@
                         closed -> {},
                         listenerState,
                         Thread::new);
-        opened.add(reactor::stop);
+        closeables.add(reactor::stop);
         for (int i = 0; i < RESERVED_FOR_SERVERS - 1; i++) {
             reactor.budget().opened();
         }
@@ -73,7 +73,7 @@
         InetSocketAddress address = reactor.address();
         for (int i = 0; i < CLIENT_COUNT; i++) {
             Socket client = new Socket(address.getAddress(), address.getPort());
-            opened.add(client);
+            closeables.add(client);
             connected.incrementAndGet();
         }
         waitUntil(() -> reactor.budget().canAccept());
--- a/src/test/java/cairnbridge/proxy/DiscoveryTest.java
+++ b/src/test/java/cairnbridge/proxy/DiscoveryTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The proxy uses a changed endpoint list within NOTIFIED_MILLIS, whatever calls failed before. */
+/** The proxy uses a changed endpoint list within the time limit, whatever calls failed before. */
 class DiscoveryTest extends ProxyTestSupport {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
@@ -35,9 +35,9 @@
         void handle(Socket socket, OutputStream out) throws IOException, InterruptedException;
     }
 
-    private StandInServer discoveryServer(CallHandler... handlers) throws IOException {
+    private StubServer discoveryServer(CallHandler... handlers) throws IOException {
         AtomicInteger calls = new AtomicInteger();
-        return new StandInServer(request -> "") {
+        return new StubServer(request -> "") {
             @Override
             Void serve(Socket socket) throws IOException, InterruptedException {
                 String request = readMessage(socket);
@@ -60,9 +60,9 @@
         socket.close();
     }
 
-    private void startWithDiscovery(StandInServer discoveryStub) throws Exception {
-        cache = new StandInServer(request -> HIT);
-        origin = new StandInServer(request -> "200 OK||fetched");
+    private void startWithDiscovery(StubServer discoveryStub) throws Exception {
+        cache = new StubServer(request -> HIT);
+        origin = new StubServer(request -> "200 OK||fetched");
         discovery = discoveryStub;
         proxy =
                 startServer(
@@ -93,7 +93,7 @@
      */
     @Test
     void aStartingProxySendsNothingByItsConfiguredListBeforeDiscoveryAnswers() throws Exception {
-        StandInServer terminating = new StandInServer(request -> HIT);
+        StubServer terminating = new StubServer(request -> HIT);
         AtomicInteger requestsSent = new AtomicInteger();
         startWithDiscovery(
                 discoveryServer(
@@ -169,7 +169,9 @@
         awaitCacheInUse();
         long millis = (System.nanoTime() - recoveredAt.get()) / 1_000_000;
         assertTrue(
-                millis <= TimeBudget.NOTIFIED_MILLIS - TimeBudget.NOTIFIED_SLACK_MILLIS / 2,
+                millis
+                        <= TimeBudget.LIST_CHANGE_LIMIT_MILLIS
+                                - TimeBudget.LIST_CHANGE_SLACK_MILLIS / 2,
                 "notified after " + millis);
     }
 
@@ -195,7 +197,7 @@
         awaitCacheInUse();
         long millis = (System.nanoTime() - silentSince.get()) / 1_000_000;
         assertTrue(
-                millis <= TimeBudget.NOTIFIED_MILLIS - TimeBudget.NOTIFIED_SLACK_MILLIS,
+                millis <= TimeBudget.LIST_CHANGE_LIMIT_MILLIS - TimeBudget.LIST_CHANGE_SLACK_MILLIS,
                 "notified after " + millis);
     }
 
@@ -295,7 +297,9 @@
         awaitCacheInUse();
         long millis = (System.nanoTime() - recoveredAt.get()) / 1_000_000;
         assertTrue(
-                millis <= TimeBudget.NOTIFIED_MILLIS - TimeBudget.NOTIFIED_SLACK_MILLIS / 2,
+                millis
+                        <= TimeBudget.LIST_CHANGE_LIMIT_MILLIS
+                                - TimeBudget.LIST_CHANGE_SLACK_MILLIS / 2,
                 "notified after " + millis);
     }
 
@@ -344,8 +348,7 @@
                 daemon(
                         () -> {
                             while (true) {
-                                // More connections than the process may hold, reopened as it closes
-                                // them.
+                                // More connections than the process may hold, reopened if closed.
                                 sockets.removeIf(Socket::isClosed);
                                 for (int i = sockets.size(); i < 150; i++) {
                                     sockets.add(new Socket(InetAddress.getLoopbackAddress(), port));
@@ -371,7 +374,9 @@
         discoveryUp.countDown();
         waitUntil(() -> updateSentAt.get() > 0);
         long millis = (updateSentAt.get() - recoveredAt) / 1_000_000;
-        assertTrue(millis <= TimeBudget.NOTIFIED_MILLIS, "the watch is open again after " + millis);
+        assertTrue(
+                millis <= TimeBudget.LIST_CHANGE_LIMIT_MILLIS,
+                "the watch is open again after " + millis);
         int code = 0;
         while (code == 0) {
             code = readStatus(port);
--- a/src/test/java/cairnbridge/proxy/OperatorsTest.java
+++ b/src/test/java/cairnbridge/proxy/OperatorsTest.java
@@ -38,7 +38,7 @@
     private Socket connectAdmin(ProxyServer server) throws IOException {
         InetSocketAddress adminAddress = server.adminAddress();
         Socket socket = new Socket(adminAddress.getAddress(), adminAddress.getPort());
-        opened.add(socket);
+        closeables.add(socket);
         return socket;
     }
 
@@ -180,7 +180,7 @@
     @Test
     void aNodeInMaintenanceGetsNoRequestsWhateverTheListSaysUntilItIsReleased() throws Exception {
         CountDownLatch sendUpdate = new CountDownLatch(1);
-        StandInServer maintained = new StandInServer(request -> HIT);
+        StubServer maintained = new StubServer(request -> HIT);
         discoveryHandler =
                 request -> {
                     sendUpdate.await();
@@ -218,9 +218,9 @@
      */
     @Test
     void maintenanceSetBeforeAnyListIsApplied() throws Exception {
-        cache = new StandInServer(request -> cacheHandler.apply(request));
-        origin = new StandInServer(request -> originHandler.apply(request));
-        discovery = new StandInServer(request -> discoveryHandler.apply(request));
+        cache = new StubServer(request -> cacheHandler.apply(request));
+        origin = new StubServer(request -> originHandler.apply(request));
+        discovery = new StubServer(request -> discoveryHandler.apply(request));
         CountDownLatch sendUpdate = new CountDownLatch(1);
         discoveryHandler =
                 request -> {
@@ -240,7 +240,7 @@
 
     @Test
     void maintenanceSurvivesARestartAndItsEndReachesOtherProcesses() throws Exception {
-        StandInServer maintained = new StandInServer(request -> HIT);
+        StubServer maintained = new StubServer(request -> HIT);
         start(endpointJson("out", maintained.address(), "cache", "Ready"));
         assertTrue(callAdmin("maint-on out").startsWith("200"));
         proxy.stop();
@@ -360,7 +360,7 @@
         BufferedReader predecessorLog = logOf(predecessor);
         assertEquals(port, portFromLog(predecessorLog));
         Socket persistent = new Socket(InetAddress.getLoopbackAddress(), port);
-        opened.add(persistent);
+        closeables.add(persistent);
         send(persistent, "GET /view/1", ttlHeader(800).replace("9b1f", "1"), "");
         assertFalse(readMessage(persistent).contains("Connection: close"));
         Process successor = startProcess();
--- a/src/test/java/cairnbridge/proxy/ProxyTest.java
+++ b/src/test/java/cairnbridge/proxy/ProxyTest.java
@@ -109,7 +109,7 @@
 
     @Test
     void readsSucceedWhileOneCacheRefusesConnections() throws Exception {
-        StandInServer stoppedCache = new StandInServer(request -> HIT);
+        StubServer stoppedCache = new StubServer(request -> HIT);
         stoppedCache.close();
         start(endpointJson("gone", stoppedCache.address(), "cache", "Ready"));
         for (int key = 0; key < 20; key++) {
@@ -143,7 +143,7 @@
     void aReadIsRetriedAtAnotherNodeAfterAConnectionReset() throws Exception {
         AtomicInteger attempts = new AtomicInteger();
         cacheHandler = request -> attempts.incrementAndGet() == 1 ? RESET_CONNECTION : HIT;
-        StandInServer secondCache = new StandInServer(cacheHandler);
+        StubServer secondCache = new StubServer(cacheHandler);
         start(endpointJson("second", secondCache.address(), "cache", "Ready"));
         assertEquals(200, statusCode(sendRequest("GET /view/1", ttlHeader(900), "")));
         assertEquals(List.of(1, 1), List.of(cache.requests.size(), secondCache.requests.size()));
@@ -204,7 +204,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"Terminating", "Gone"})
     void aDrainingOrRemovedNodeGetsNoNewRequests(String state) throws Exception {
-        StandInServer leavingNode = new StandInServer(request -> HIT);
+        StubServer leavingNode = new StubServer(request -> HIT);
         CountDownLatch sendUpdate = new CountDownLatch(1);
         discoveryHandler =
                 request -> {
@@ -243,7 +243,7 @@
                 "; CONNECT_FAILED"
             })
     void aHealthCheckReportsItsOutcome(String response, AttemptOutcome expected) throws Exception {
-        StandInServer node = new StandInServer(request -> response);
+        StubServer node = new StubServer(request -> response);
         ProxyConfig config = config(endpointListJson(1, true), node.address());
         EventQueue eventQueue = new EventQueue(9);
         TickClock clock = new TickClock();
@@ -251,7 +251,7 @@
                 new ListenerState(clock, config.names().categories(), new ProxyMetrics(List.of()));
         ConnectionReactor reactor =
                 new ConnectionReactor(config, eventQueue, listenerState, Thread::new);
-        opened.add(reactor::stop);
+        closeables.add(reactor::stop);
         reactor.start();
         if (response == null) {
             node.close();
@@ -296,9 +296,9 @@
     @Test
     void theRequestCountsOfTheNodesAreTheSameForEveryProxy() throws Exception {
         start();
-        Map<String, StandInServer> caches = new TreeMap<>();
+        Map<String, StubServer> caches = new TreeMap<>();
         for (String uid : List.of("a", "b", "c")) {
-            caches.put(uid, new StandInServer(request -> HIT));
+            caches.put(uid, new StubServer(request -> HIT));
         }
         List<List<Integer>> requestCounts = new ArrayList<>();
         for (int run = 0; run < 2; run++) {
@@ -429,7 +429,7 @@
         BufferedReader log = logOf(process);
         int port = portFromLog(log);
         Socket client = new Socket(InetAddress.getLoopbackAddress(), port);
-        opened.add(client);
+        closeables.add(client);
         send(client, "PUT /loan/1", ttlHeader(50), "v");
         assertEquals(502, statusCode(readMessage(client)));
         sendSignal(process, "STOP");
@@ -513,8 +513,8 @@
     void sighupMovesTheDiscoveryWatchAndAFaultyConfigurationChangesNothing() throws Exception {
         start();
         CountDownLatch sendList = new CountDownLatch(1);
-        StandInServer newDiscovery =
-                new StandInServer(
+        StubServer newDiscovery =
+                new StubServer(
                         request -> {
                             sendList.await();
                             return "200 OK||"
@@ -542,7 +542,7 @@
         sendList.countDown();
         for (int status = 0; status != 200; ) {
             Socket client = new Socket(InetAddress.getLoopbackAddress(), port);
-            opened.add(client);
+            closeables.add(client);
             send(client, "GET /view/1", ttlHeader(800), "");
             status = statusCode(readMessage(client));
         }
@@ -710,7 +710,7 @@
     void aRestartedProxyAvoidsTheFailingNodeOfTheWarmStartFileAndOpensAWatch() throws Exception {
         extraConfig = "\"learnt\":\"" + folder.resolve("learnt.json") + "\",";
         hedging = "true";
-        StandInServer failingCache = new StandInServer(request -> "500 Ill||");
+        StubServer failingCache = new StubServer(request -> "500 Ill||");
         start(endpointJson("bad", failingCache.address(), "cache", "Ready"));
         for (int key = 0; key < 30; key++) {
             assertEquals(200, statusCode(sendRequest("GET /view/" + key, ttlHeader(800), "")));
--- a/src/test/java/cairnbridge/proxy/ProxyTestSupport.java
+++ b/src/test/java/cairnbridge/proxy/ProxyTestSupport.java
@@ -29,7 +29,7 @@
 /** Runs a proxy on real sockets, with stub servers as cache, origin and discovery. */
 @Timeout(20)
 abstract class ProxyTestSupport {
-    // Responses of stub servers; see StandInServer for the format.
+    // Responses of stub servers; see StubServer for the format.
     static final String HIT = "200 OK|X-Store: hit|kept";
     static final String MISS = "404 Not Found|X-Store: miss|";
 
@@ -46,16 +46,16 @@
     static final String SILENT = "silent";
 
     /** Keeps a discovery watch open and sends only heartbeats on it. */
-    static final String QUIET = "quiet";
+    static final String HEARTBEATS_ONLY = "quiet";
 
     /** An incremental endpoint list that changes nothing. */
     static final String EMPTY_UPDATE = "200 OK||{\"rev\":1,\"all\":false,\"targets\":[]}\n";
 
     @TempDir Path folder;
-    final List<AutoCloseable> opened = new ArrayList<>();
+    final List<AutoCloseable> closeables = new ArrayList<>();
     StubHandler cacheHandler = request -> HIT;
     StubHandler originHandler = request -> "200 OK||fetched";
-    StubHandler discoveryHandler = request -> QUIET;
+    StubHandler discoveryHandler = request -> HEARTBEATS_ONLY;
     int maxSockets = 256;
     int port;
     double keepAliveSeconds = 60;
@@ -70,18 +70,18 @@
     String hedging = "false";
 
     /** Whether a critical thread of the proxy has ended. */
-    volatile boolean broken;
+    volatile boolean criticalThreadEnded;
 
     TickClock clock = new TickClock();
-    StandInServer cache;
-    StandInServer origin;
-    StandInServer discovery;
+    StubServer cache;
+    StubServer origin;
+    StubServer discovery;
     ProxyServer proxy;
 
     @AfterEach
     void close() throws Exception {
-        assertFalse(broken, "a critical thread of the proxy has ended");
-        for (AutoCloseable each : opened) {
+        assertFalse(criticalThreadEnded, "a critical thread of the proxy has ended");
+        for (AutoCloseable each : closeables) {
             each.close();
         }
     }
@@ -91,7 +91,7 @@
      * {@code status|header|body}, a whole HTTP response with CRLF written as semicolon, or one of
      * the special responses, such as {@link #SILENT}.
      */
-    class StandInServer implements AutoCloseable {
+    class StubServer implements AutoCloseable {
         final List<String> requests = new CopyOnWriteArrayList<>();
         final List<Socket> connections = new CopyOnWriteArrayList<>();
         final AtomicInteger endedConnections = new AtomicInteger();
@@ -99,9 +99,9 @@
         final StubHandler handler;
         final Thread acceptThread;
 
-        StandInServer(StubHandler handler) throws IOException {
+        StubServer(StubHandler handler) throws IOException {
             this.handler = handler;
-            opened.add(this);
+            closeables.add(this);
             acceptThread =
                     daemon(
                             () -> {
@@ -141,7 +141,7 @@
                                             .getBytes(StandardCharsets.ISO_8859_1));
                     socket.close();
                     return null;
-                } else if (response.equals(QUIET)) {
+                } else if (response.equals(HEARTBEATS_ONLY)) {
                     sendHeartbeats(socket);
                 } else if (response.startsWith("HTTP/")) {
                     socket.getOutputStream()
@@ -195,9 +195,7 @@
         }
     }
 
-    /**
-     * Returns the response of a stub server to a request, in the format of {@link StandInServer}.
-     */
+    /** Returns the response of a stub server to a request, in the format of {@link StubServer}. */
     interface StubHandler {
         String apply(String request) throws InterruptedException;
     }
@@ -311,9 +309,9 @@
     }
 
     void start(String... extraEndpoints) throws Exception {
-        cache = new StandInServer(request -> cacheHandler.apply(request));
-        origin = new StandInServer(request -> originHandler.apply(request));
-        discovery = new StandInServer(request -> discoveryHandler.apply(request));
+        cache = new StubServer(request -> cacheHandler.apply(request));
+        origin = new StubServer(request -> originHandler.apply(request));
+        discovery = new StubServer(request -> discoveryHandler.apply(request));
         List<String> targets =
                 new ArrayList<>(
                         List.of(
@@ -326,8 +324,10 @@
     ProxyServer startServer(String endpointList) throws Exception {
         ProxyServer server =
                 new ProxyServer(
-                        config(endpointList, discovery.address()), () -> broken = true, clock);
-        opened.add(server::stop);
+                        config(endpointList, discovery.address()),
+                        () -> criticalThreadEnded = true,
+                        clock);
+        closeables.add(server::stop);
         server.start();
         return server;
     }
@@ -356,7 +356,7 @@
         builder.environment().put("LB_CONFIG", folder.resolve("config.json").toString());
         builder.environment().put("TMPDIR", folder.toString());
         Process process = builder.start();
-        opened.add(() -> process.destroyForcibly().waitFor());
+        closeables.add(() -> process.destroyForcibly().waitFor());
         return process;
     }
 
@@ -382,7 +382,7 @@
     Socket connectClient() throws IOException {
         InetSocketAddress address = proxy.address();
         Socket socket = new Socket(address.getAddress(), address.getPort());
-        opened.add(socket);
+        closeables.add(socket);
         return socket;
     }
 
--- a/src/test/java/cairnbridge/proxy/ReloadTest.java
+++ b/src/test/java/cairnbridge/proxy/ReloadTest.java
@@ -25,7 +25,7 @@
     void aNodeThatDrainsInTheNewDiscoveryListGetsNoRequestsAfterAReload(String inherited)
             throws Exception {
         start();
-        StandInServer draining = new StandInServer(request -> HIT);
+        StubServer draining = new StubServer(request -> HIT);
         String before =
                 endpointListJson(
                         1,
@@ -39,7 +39,7 @@
                         endpointJson("c", cache.address(), "cache", "Ready"),
                         endpointJson("d", draining.address(), "cache", "Terminating"),
                         endpointJson("o", origin.address(), "origin", "Ready"));
-        StandInServer moved = new StandInServer(request -> "200 OK||" + after + "\n");
+        StubServer moved = new StubServer(request -> "200 OK||" + after + "\n");
         config(before, discovery.address());
         Process process = startProcessAfter(inherited);
         BufferedReader log = logOf(process);
@@ -53,8 +53,7 @@
         waitUntil(() -> !moved.requests.isEmpty());
         waitUntil(() -> readStatus(port) == 200 && !cache.requests.isEmpty());
         long millis = (System.nanoTime() - reloaded) / 1_000_000;
-        assertTrue(
-                millis <= TimeBudget.RELOAD_NOTIFIED_MILLIS, "in effect after " + millis + " ms");
+        assertTrue(millis <= TimeBudget.RELOAD_LIMIT_MILLIS, "in effect after " + millis + " ms");
         int sent = draining.requests.size();
         for (int i = 0; i < READS; i++) {
             assertEquals(200, readStatus(port));
--- a/src/test/java/cairnbridge/proxy/RestartSoakTest.java
+++ b/src/test/java/cairnbridge/proxy/RestartSoakTest.java
@@ -52,7 +52,7 @@
     /** How long after SIGTERM clients still connect to a process that has no successor. */
     private static final long CONNECT_AFTER_TERM_MILLIS = 300;
 
-    private static final long NOTIFIED_MILLIS = 6000;
+    private static final long LIST_CHANGE_LIMIT_MILLIS = 6000;
     private static final Path LOG_FOLDER = Path.of("target", "soak");
     private static final int RESET_INTERVAL = 8;
     private static final Pattern TRACE_ID = Pattern.compile("(?i)x-trace-id: (\\S+)");
@@ -91,7 +91,7 @@
         random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
         logFile = Files.createDirectories(LOG_FOLDER).resolve("seed-" + seed + ".log");
         Files.deleteIfExists(logFile);
-        startStandIns();
+        startStubServers();
         serving = startServing();
         List<SoakClient> clients = startClients();
         for (int i = 0; i < STEPS; i++) {
@@ -121,13 +121,13 @@
         assertTrue(checker.answeredCount() > 0);
     }
 
-    private void startStandIns() throws IOException {
+    private void startStubServers() throws IOException {
         boolean hangs = random.nextInt(3) == 0;
         boolean resets = random.nextInt(3) == 0;
         discoveryIsDown = random.nextInt(4) == 0;
-        cache = new StandInServer(request -> serve(request, "c", false, resets));
-        StandInServer second = new StandInServer(request -> serve(request, "d", hangs, false));
-        origin = new StandInServer(request -> serve(request, "o", false, false));
+        cache = new StubServer(request -> serve(request, "c", false, resets));
+        StubServer second = new StubServer(request -> serve(request, "d", hangs, false));
+        origin = new StubServer(request -> serve(request, "o", false, false));
         String[] targets = {
             endpointJson("c", cache.address(), "cache", "Ready"),
             endpointJson("d", second.address(), "cache", "Ready"),
@@ -135,7 +135,7 @@
         };
         String drained = endpointJson("d", second.address(), "cache", "Terminating");
         discovery =
-                new StandInServer(
+                new StubServer(
                         request ->
                                 discoveryIsDown
                                         ? RESET_CONNECTION
@@ -194,7 +194,7 @@
         if (random.nextInt(3) == 0) {
             history.add("idle clients");
             for (int i = 0; i < IDLE_CLIENTS; i++) {
-                opened.add(new Socket(InetAddress.getLoopbackAddress(), port));
+                closeables.add(new Socket(InetAddress.getLoopbackAddress(), port));
             }
         }
         return clients;
@@ -291,7 +291,8 @@
         if (!draining && !discoveryIsDown) {
             draining = true;
             checker.drained(
-                    "d", System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(NOTIFIED_MILLIS));
+                    "d",
+                    System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LIST_CHANGE_LIMIT_MILLIS));
         }
         if (underReload) {
             sendSignal(serving, "HUP");
--- a/src/test/java/cairnbridge/proxy/StartTest.java
+++ b/src/test/java/cairnbridge/proxy/StartTest.java
@@ -28,8 +28,8 @@
                             case "returning" ->
                                     calls.incrementAndGet() <= 3 * PROCESSES
                                             ? RESET_CONNECTION
-                                            : QUIET;
-                            default -> QUIET;
+                                            : HEARTBEATS_ONLY;
+                            default -> HEARTBEATS_ONLY;
                         };
         start();
         if (discoveryState.equals("refused")) {
--- a/src/test/java/cairnbridge/proxy/StatsNamesTest.java
+++ b/src/test/java/cairnbridge/proxy/StatsNamesTest.java
@@ -4,7 +4,7 @@
 
 import cairnbridge.Fixtures;
 import cairnbridge.config.FleetConfig;
-import cairnbridge.recovery.StateKeeper;
+import cairnbridge.recovery.DurableState;
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
@@ -38,17 +38,19 @@
         Path fleet = folder.resolve("fleet.toml");
         Files.writeString(fleet, FLEET.formatted(folder.resolve("zones.state")));
         FleetConfig config = FleetConfig.read(fleet.toString(), "p");
-        StateKeeper keeper =
-                StateKeeper.open(
+        DurableState durableState =
+                DurableState.open(
                         config.recovery().orElseThrow(),
                         config.transport().identity().generation(),
                         line -> {});
         ProxyServer server =
-                new ProxyServer(config("{}", discovery.address()), () -> broken = true, clock);
+                new ProxyServer(
+                        config("{}", discovery.address()), () -> criticalThreadEnded = true, clock);
         server.joinFleet(
-                config.withPersisted(keeper.generation(), keeper.rememberedEndpoints()),
-                Optional.of(keeper));
-        opened.add(server::stop);
+                config.withPersisted(
+                        durableState.generation(), durableState.persistedPeerEndpoints()),
+                Optional.of(durableState));
+        closeables.add(server::stop);
         server.start();
         return server;
     }
@@ -63,7 +65,7 @@
     @Test
     void metricNamesAndTypesMatchTheRecordedOnes() throws Exception {
         extraConfig = "\"admin_addr\":\"127.0.0.1:0\",";
-        discovery = new StandInServer(request -> QUIET);
+        discovery = new StubServer(request -> HEARTBEATS_ONLY);
 
         List<String> names =
                 stats(startMember().adminAddress())
--- a/src/test/java/cairnbridge/recovery/EndpointListFormatTest.java
+++ b/src/test/java/cairnbridge/recovery/EndpointListFormatTest.java
@@ -12,27 +12,27 @@
 class EndpointListFormatTest {
     @Test
     void linesOfAWatchGiveTheSameList() throws Exception {
-        EndpointListHistory history = new EndpointListHistory();
-        Fixtures.text("list/told.jsonl").lines().forEach(history::lineReceived);
+        EndpointListAssembler assembler = new EndpointListAssembler();
+        Fixtures.text("list/told.jsonl").lines().forEach(assembler::lineReceived);
 
-        assertEquals(44, history.version());
-        assertEquals(Fixtures.text("list/kept.json"), history.endpointList());
+        assertEquals(44, assembler.version());
+        assertEquals(Fixtures.text("list/kept.json"), assembler.endpointList());
     }
 
     @Test
     void aPersistedListIsReadLikeALineOfAWatch() throws Exception {
-        EndpointListHistory history = new EndpointListHistory();
-        history.lineReceived(Fixtures.text("list/kept.json"));
+        EndpointListAssembler assembler = new EndpointListAssembler();
+        assembler.lineReceived(Fixtures.text("list/kept.json"));
 
-        assertEquals(44, history.version());
-        assertEquals(Fixtures.text("list/kept.json"), history.endpointList());
+        assertEquals(44, assembler.version());
+        assertEquals(Fixtures.text("list/kept.json"), assembler.endpointList());
     }
 
     @Test
     void aListWithNewStartTimesKeepsItsFormat() throws Exception {
         assertEquals(
                 Fixtures.text("list/started-now.json"),
-                EndpointListHistory.withStartTimes(
+                EndpointListAssembler.withStartTimes(
                         Fixtures.text("list/kept.json"), 1_700_000_555_000L));
     }
 }
--- a/src/test/java/cairnbridge/store/StateStoreTest.java
+++ b/src/test/java/cairnbridge/store/StateStoreTest.java
@@ -116,7 +116,7 @@
     void persistedStateIsReadAtTheNextStart() throws Exception {
         StateStore store = store(new FileStorageDirectory(folder));
         assertEquals(0, store.start(5_000).orElseThrow().logged().generation());
-        store.snapshotFrom(() -> Optional.of(state(4)));
+        store.setSnapshotSource(() -> Optional.of(state(4)));
         assertTrue(store.append(LogRecord.Kind.GENERATION, 11).get(5, TimeUnit.SECONDS));
         assertTrue(store.append(LogRecord.Kind.MAINTENANCE_ON, 3).get(5, TimeUnit.SECONDS));
         store.stop();
--- a/src/test/java/cairnbridge/zones/ZonePlanCoordinatorTest.java
+++ b/src/test/java/cairnbridge/zones/ZonePlanCoordinatorTest.java
@@ -128,7 +128,7 @@
         }
 
         @Override
-        public List<ListedNode> servers() {
+        public List<ListedNode> listedNodes() {
             List<ListedNode> nodes = new ArrayList<>();
             for (String zone : List.of("a", "b", "c")) {
                 for (int i = 0; i < 4; i++) {
