--- a/src/main/java/cairnbridge/proxy/ClientExchange.java
+++ b/src/main/java/cairnbridge/proxy/ClientExchange.java
@@ -23,9 +23,9 @@
 
 /**
  * One request of a client and its response. The reactor's thread calls the methods that {@link
- * RequestHandler} inherits from the HTTP library. The coordinator's thread answers the request,
- * with {@link #answerSuccess} and the methods after it, and is the only thread that uses the
- * request id. Any thread may query the state.
+ * RequestHandler} inherits from the HTTP library. The coordinator thread answers the request, with
+ * {@link #answerSuccess} and the methods after it, and is the only thread that uses the request id.
+ * Any thread may query the state.
  */
 public final class ClientExchange implements RequestHandler {
     // Aliases of the constants of RequestParser, for classes that refer to them by this class.
@@ -58,7 +58,7 @@
      */
     private ParsedRequest request;
 
-    /** Null until the coordinator's thread assigns it; used on that thread only. */
+    /** Null until the coordinator thread assigns it; used on that thread only. */
     RequestId requestId;
 
     // Copies of request(), requestBody() and requestPipe(), for classes that read the fields.
--- a/src/main/java/cairnbridge/proxy/DiscoveryWatch.java
+++ b/src/main/java/cairnbridge/proxy/DiscoveryWatch.java
@@ -135,8 +135,8 @@
     }
 
     /**
-     * Waits until the first list from discovery is queued for the owner thread, or until it is
-     * clear that discovery has none or cannot be reached. Guards against requests routed by the
+     * Waits until the first list from discovery is queued for the coordinator thread, or until it
+     * is clear that discovery has none or cannot be reached. Guards against requests routed by the
      * configuration's outdated list: a change that discovery has published before the start has to
      * apply to the first request.
      */
--- a/src/main/java/cairnbridge/proxy/EndpointListListener.java
+++ b/src/main/java/cairnbridge/proxy/EndpointListListener.java
@@ -7,7 +7,7 @@
 
 /** Receives endpoint lists; called on the reactor's thread or on the scheduler's thread. */
 interface EndpointListListener {
-    /** Discovery has sent a whole list or changes to it, or could not be reached. */
+    /** Discovery has sent the endpoint list or changes to it, or could not be reached. */
     void endpointListChanged(
             Event.EndpointListReceived list, Map<NodeId, InetSocketAddress> addresses);
 
--- a/src/main/java/cairnbridge/proxy/FleetLink.java
+++ b/src/main/java/cairnbridge/proxy/FleetLink.java
@@ -19,7 +19,7 @@
 /**
  * Connects the proxy to its fleet: provides what the fleet member announces about the proxy, and
  * passes the fleet's events and requests on to the proxy. The methods of {@link LocalProxy} are
- * called on the fleet's thread; events reach the owner thread through its queue.
+ * called on the fleet's thread; events reach the coordinator thread through its queue.
  */
 final class FleetLink implements LocalProxy {
     /**
--- a/src/main/java/cairnbridge/proxy/ProxyServer.java
+++ b/src/main/java/cairnbridge/proxy/ProxyServer.java
@@ -23,7 +23,7 @@
 public final class ProxyServer implements AdminOperations {
     private static final Logger LOG = Logger.getLogger(ProxyServer.class.getName());
 
-    /** The name of the owner thread, which runs the coordinator, in thread dumps. */
+    /** The name of the coordinator thread in thread dumps. */
     static final String OWNER_THREAD_NAME = "owner";
 
     private final ProxyConfig config;
--- a/src/main/java/cairnbridge/proxy/RecoveryLink.java
+++ b/src/main/java/cairnbridge/proxy/RecoveryLink.java
@@ -28,13 +28,13 @@
 /**
  * Connects the proxy to its {@link RecoveryCoordinator}: passes the proxy's events to it, and
  * carries out its requests. The methods of {@link RecoveryListener} and {@link RecoveryHost} are
- * called on the owner thread, which runs the request coordinator. Any thread may call the other
- * methods; they read the latest published status.
+ * called on the coordinator thread. Any thread may call the other methods; they read the latest
+ * published status.
  */
 final class RecoveryLink implements RecoveryHost, RecoveryListener, RecoveryStatus {
     private static final Logger LOG = Logger.getLogger(RecoveryLink.class.getName());
 
-    /** The status of the recovery as other threads than the owner thread read it. */
+    /** The status of the recovery as other threads than the coordinator thread read it. */
     private record PublishedStatus(
             RecoveryPhase phase,
             int originLimit,
@@ -104,7 +104,7 @@
         fleetMember = member;
     }
 
-    // Events for the recovery, on the owner thread.
+    // Events for the recovery, on the coordinator thread.
 
     @Override
     public boolean admit(ClientExchange exchange, long deadlineTicks, long nowTicks) {
@@ -187,7 +187,7 @@
         discoveryWatch.setVersionFloor(coordinator.endpointListFloor());
     }
 
-    // Requests of the recovery, on the owner thread.
+    // Requests of the recovery, on the coordinator thread.
 
     @Override
     public void usePersistedList() {
@@ -232,7 +232,7 @@
 
     // Status for the fleet and for operators, on any thread.
 
-    /** Passes a membership view to the owner thread; called on the fleet's thread. */
+    /** Passes a membership view to the coordinator thread; called on the fleet's thread. */
     @Override
     public void fleetChanged(MembershipView view) {
         durableState.store().checkDisk();
--- a/src/main/java/cairnbridge/proxy/RecoveryListener.java
+++ b/src/main/java/cairnbridge/proxy/RecoveryListener.java
@@ -7,8 +7,7 @@
 
 /**
  * The request coordinator's interface to the recovery from a power loss: receives events, and
- * admits or rejects new requests. Called on the owner thread, which runs the coordinator; times are
- * ticks.
+ * admits or rejects new requests. Called on the coordinator thread; times are ticks.
  */
 interface RecoveryListener {
     /** Admits all requests; used where there is no recovery. */
@@ -70,7 +69,7 @@
     void attemptEnded(
             UpstreamAttempt attempt, AttemptOutcome outcome, long durationTicks, long nowTicks);
 
-    /** Discovery has sent a whole list or changes to it, or could not be reached. */
+    /** Discovery has sent the endpoint list or changes to it, or could not be reached. */
     void endpointListChanged(Event.EndpointListReceived list, long nowTicks);
 
     /** Discovery has sent a list that is older than a known version; it is not used. */
--- a/src/main/java/cairnbridge/proxy/RequestBody.java
+++ b/src/main/java/cairnbridge/proxy/RequestBody.java
@@ -9,8 +9,7 @@
 /**
  * The body of one client request: buffered as a whole while it is short, streamed through a pipe
  * once it does not fit into the buffer. Only the reactor's thread writes it. Any thread may read
- * the volatile fields; the coordinator's thread reads the bytes after it was notified of the
- * request.
+ * the volatile fields; the coordinator thread reads the bytes after it was notified of the request.
  */
 final class RequestBody {
     private static final byte[] NO_BYTES = {};
