--- a/src/main/java/cairnbridge/config/WarmStartFile.java
+++ b/src/main/java/cairnbridge/config/WarmStartFile.java
@@ -51,11 +51,13 @@
     }
 
     private static WarmStartState parse(JsonObject root) {
-        Map<NodeId, WarmStartState.Trust> nodes = new HashMap<>();
+        Map<NodeId, WarmStartState.SavedHealth> nodes = new HashMap<>();
         for (JsonObject node : root.objects(NODES)) {
             NodeId id = new NodeId(Long.parseUnsignedLong(node.text(NODE_ID, ""), ID_RADIX));
             nodes.put(
-                    id, new WarmStartState.Trust((long) node.number(NODE_STARTED, 0), share(node)));
+                    id,
+                    new WarmStartState.SavedHealth(
+                            (long) node.number(NODE_STARTED, 0), share(node)));
         }
         return new WarmStartState(
                 (long) root.number(RECORDED_AT, 0),
@@ -92,7 +94,7 @@
         generator.writeNumberField(RECORDED_AT, state.recordedAt());
         generator.writeNumberField(ORIGIN_LATENCY, state.originLatency());
         generator.writeArrayFieldStart(NODES);
-        for (Map.Entry<NodeId, WarmStartState.Trust> node : state.nodes().entrySet()) {
+        for (Map.Entry<NodeId, WarmStartState.SavedHealth> node : state.nodes().entrySet()) {
             generator.writeStartObject();
             generator.writeStringField(NODE_ID, Long.toHexString(node.getKey().value()));
             generator.writeNumberField(NODE_STARTED, node.getValue().startedAt());
