--- a/src/main/java/cairnbridge/cli/AdminCall.java
+++ b/src/main/java/cairnbridge/cli/AdminCall.java
@@ -10,8 +10,8 @@
 import picocli.CommandLine.Spec;
 
 /**
- * The part that the commands which ask a running proxy have in common: the option that names its
- * administration endpoint, and one request to it.
+ * Mixin for commands that query a running proxy: the address option of its administration endpoint,
+ * and a method that sends one request to that endpoint.
  */
 final class AdminCall {
     private static final int TIMEOUT_MILLIS = 3000;
@@ -31,7 +31,7 @@
      * Sends one request and prints the answer.
      *
      * @param request the request line
-     * @return the command's exit status: 1 if the answer is a refusal or there is none
+     * @return the command's exit status: 1 if the endpoint refuses the request or does not answer
      */
     int send(String request) {
         InetSocketAddress endpoint =
--- a/src/main/java/cairnbridge/cli/DemoCommand.java
+++ b/src/main/java/cairnbridge/cli/DemoCommand.java
@@ -10,29 +10,30 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** A small fleet at work, for a first look. */
+/** Starts a small local fleet with clients, caches and an origin for demonstration. */
 @Command(
         name = "demo",
         mixinStandardHelpOptions = true,
         description =
-                "Starts a small fleet with its stand-ins and says where to look; ends at Ctrl-C.")
+                "Starts a small fleet with stub servers and prints its addresses; stop it with"
+                        + " Ctrl-C.")
 final class DemoCommand implements Callable<Integer> {
     @Spec private CommandSpec spec;
 
     @Option(
             names = "--seconds",
             defaultValue = "0",
-            description = "Ends by itself after so many seconds; 0: never.")
+            description = "Stops after this number of seconds; 0: runs until Ctrl-C.")
     private int seconds;
 
     @Override
     public Integer call() throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("cairnbridge-demo");
-        boolean served = new Demo(folder, this::say).run(seconds);
+        boolean served = new Demo(folder, this::print).run(seconds);
         return served ? 0 : 1;
     }
 
-    private void say(String line) {
+    private void print(String line) {
         spec.commandLine().getOut().println(line);
         spec.commandLine().getOut().flush();
     }
--- a/src/main/java/cairnbridge/cli/DrillCommand.java
+++ b/src/main/java/cairnbridge/cli/DrillCommand.java
@@ -17,33 +17,33 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Plays scenarios, one after another; the status is 1 where one does not hold. */
+/** Runs scenarios in sequence; the exit status is 1 if any check of a scenario fails. */
 @Command(
         name = "drill",
         mixinStandardHelpOptions = true,
         description =
-                "Starts proxies and stand-ins on loopback addresses and breaks things between"
+                "Starts proxies and stub servers on loopback addresses and injects faults between"
                         + " them.")
 final class DrillCommand implements Callable<Integer> {
     @Spec private CommandSpec spec;
 
-    @Parameters(arity = "1..*", paramLabel = "FILE", description = "Scenarios, as in drills/.")
+    @Parameters(arity = "1..*", paramLabel = "FILE", description = "Scenario files, as in drills/.")
     private List<String> files;
 
     @Option(
             names = "--out",
             paramLabel = "FOLDER",
             description =
-                    "Where records of events and the processes' files go; if not given, a new"
-                            + " folder.")
+                    "Folder for event records and the files of the processes; default: a new"
+                            + " temporary folder.")
     private String out;
 
-    @Option(names = "--check", description = "Reads the scenarios and plays none.")
+    @Option(names = "--check", description = "Parses the scenarios without running them.")
     private boolean check;
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        boolean held = true;
+        boolean allHeld = true;
         for (String file : files) {
             Scenario scenario = read(file);
             if (check) {
@@ -52,20 +52,25 @@
             String name = Path.of(file).getFileName().toString().replace(".drill", "");
             Path folder =
                     out == null ? Files.createTempDirectory("drill-" + name) : Path.of(out, name);
-            say(name + ": " + scenario.title());
-            Drill.Verdict verdict = new Drill(scenario, folder, line -> say("  " + line)).run();
-            say(name + (verdict.held() ? " HELD" : " DID NOT HOLD") + ", record in " + folder);
-            held &= verdict.held();
+            print(name + ": " + scenario.title());
+            Drill.Verdict verdict = new Drill(scenario, folder, line -> print("  " + line)).run();
+            print(name + (verdict.held() ? " HELD" : " DID NOT HOLD") + ", record in " + folder);
+            allHeld &= verdict.held();
         }
-        return held ? 0 : 1;
+        return allHeld ? 0 : 1;
     }
 
-    private void say(String line) {
+    private void print(String line) {
         spec.commandLine().getOut().println(line);
         spec.commandLine().getOut().flush();
     }
 
-    /** A ConfigFault that begins with the file where it cannot be used. */
+    /**
+     * Reads a scenario file.
+     *
+     * @throws ConfigurationException if the file cannot be read or parsed; its message begins with
+     *     the file name
+     */
     static Scenario read(String file) {
         try {
             return ScenarioFile.read(Files.readString(Path.of(file)));
--- a/src/main/java/cairnbridge/cli/FileChanges.java
+++ b/src/main/java/cairnbridge/cli/FileChanges.java
@@ -7,31 +7,32 @@
 import java.nio.file.attribute.FileTime;
 import java.util.Objects;
 
-/** Tells whether a file has been replaced or written since it was last looked at. */
+/** Detects whether a file has been replaced or modified since the previous poll. */
 final class FileChanges {
     /**
-     * What differs between two contents of a file; key tells a replaced file from a written one.
+     * File attributes that identify one version of the file. The file key differs when another file
+     * has replaced this one, even if size and modification time are equal.
      */
     private record Version(FileTime modified, long size, Object key) {}
 
     private final Path file;
-    private Version seen;
+    private Version lastSeen;
 
-    /** Changes count from now on. */
+    /** Takes the current version of the file as the baseline for the first poll. */
     FileChanges(Path file) {
         this.file = file;
-        seen = currentVersion();
+        lastSeen = currentVersion();
     }
 
     /**
-     * Whether the file differs from the last look. A file that is absent, as in the middle of its
-     * replacement, has not changed yet.
+     * Returns whether the file differs from the version at the previous poll. An absent file counts
+     * as unchanged, because it may be in the middle of a replacement.
      */
     boolean poll() {
         Version current = currentVersion();
-        boolean changed = current != null && !Objects.equals(current, seen);
+        boolean changed = current != null && !Objects.equals(current, lastSeen);
         if (changed) {
-            seen = current;
+            lastSeen = current;
         }
         return changed;
     }
--- a/src/main/java/cairnbridge/cli/FuzzCommand.java
+++ b/src/main/java/cairnbridge/cli/FuzzCommand.java
@@ -7,40 +7,43 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Drives a store's files through losses of power and rot for as long as it is told. */
+/** Tests a store against simulated power losses and data corruption for a given time. */
 @Command(
         name = "fuzz",
         mixinStandardHelpOptions = true,
         description =
-                "Reads a store back after losses of power, faults and rot on a simulated disk.")
+                "Reads a store after power losses, disk faults and corruption on a simulated disk.")
 final class FuzzCommand implements Callable<Integer> {
     @Spec private CommandSpec spec;
 
-    @Option(names = "--minutes", defaultValue = "10", description = "How long: ${DEFAULT-VALUE}.")
+    @Option(
+            names = "--minutes",
+            defaultValue = "10",
+            description = "Minutes to run: ${DEFAULT-VALUE}.")
     private double minutes;
 
     @Option(
             names = "--seed",
             defaultValue = "1",
-            description = "The first seed; the next ones follow it.")
+            description = "The first seed; each iteration uses the next one.")
     private long seed;
 
     @Override
     public Integer call() {
         OptionChecks.require(minutes > 0, "--minutes", "is not above 0");
-        long until = System.nanoTime() + (long) (minutes * 60e9);
-        long next = seed;
-        while (System.nanoTime() < until) {
+        long deadline = System.nanoTime() + (long) (minutes * 60e9);
+        long currentSeed = seed;
+        while (System.nanoTime() < deadline) {
             try {
-                StoreRuns.lossOfPower(next);
-                StoreRuns.rot(next);
+                StoreRuns.lossOfPower(currentSeed);
+                StoreRuns.rot(currentSeed);
             } catch (RuntimeException e) {
-                spec.commandLine().getErr().println("seed " + next + ": " + e);
+                spec.commandLine().getErr().println("seed " + currentSeed + ": " + e);
                 return 1;
             }
-            next++;
+            currentSeed++;
         }
-        spec.commandLine().getOut().println(next - seed + " seeds, all held");
+        spec.commandLine().getOut().println(currentSeed - seed + " seeds, all held");
         return 0;
     }
 }
--- a/src/main/java/cairnbridge/cli/LabCommand.java
+++ b/src/main/java/cairnbridge/cli/LabCommand.java
@@ -6,11 +6,12 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** Groups the commands that play scenarios on models, at sizes that sockets do not reach. */
+/** Groups the commands that simulate scenarios at fleet sizes beyond what real sockets allow. */
 @Command(
         name = "lab",
         mixinStandardHelpOptions = true,
-        description = "Plays scenarios on models, in simulated time, with the real decision code.",
+        description =
+                "Simulates scenarios on models, in simulated time, with the real decision code.",
         subcommands = {
             LabRunCommand.class,
             LabExperimentCommand.class,
--- a/src/main/java/cairnbridge/cli/LabExperimentCommand.java
+++ b/src/main/java/cairnbridge/cli/LabExperimentCommand.java
@@ -20,48 +20,55 @@
 @Command(
         name = "experiment",
         mixinStandardHelpOptions = true,
-        description = "Runs what a file names, side by side, and compares.",
+        description =
+                "Runs the variants that an experiment file defines and compares their results.",
         footer = "Example: lab experiment lab/policies.toml --out target/policies.jsonl")
 final class LabExperimentCommand implements Callable<Integer> {
-    private static final int BAR_MILLIS = 500;
+    private static final int PROGRESS_UPDATE_MILLIS = 500;
     @Spec private CommandSpec spec;
 
-    @Parameters(paramLabel = "FILE", description = "An experiment, TOML.")
+    @Parameters(paramLabel = "FILE", description = "An experiment file, TOML.")
     private String file;
 
     @Option(
             names = "--out",
             required = true,
             paramLabel = "FILE",
-            description = "Results, lines of JSON; what is there already is not run again.")
+            description = "Results file, JSON lines; runs that are already in it are skipped.")
     private String out;
 
-    @Option(names = "--commit", defaultValue = "unknown", description = "Noted in the results.")
+    @Option(
+            names = "--commit",
+            defaultValue = "unknown",
+            description = "Commit recorded in the results.")
     private String commit;
 
-    @Option(names = "--threads", defaultValue = "0", description = "All cores, if not given.")
+    @Option(
+            names = "--threads",
+            defaultValue = "0",
+            description = "Number of threads; 0: one for each core.")
     private int threads;
 
     @Override
     public Integer call() throws IOException, InterruptedException {
         Experiment experiment = ExperimentFile.read(OptionChecks.path(file));
-        int many = threads > 0 ? threads : Runtime.getRuntime().availableProcessors();
+        int threadCount = threads > 0 ? threads : Runtime.getRuntime().availableProcessors();
         List<Results.Line> lines;
         try (ProgressBar bar =
                 new ProgressBarBuilder()
                         .setTaskName("runs")
                         .setInitialMax(1)
                         .setStyle(ProgressBarStyle.ASCII)
-                        .setUpdateIntervalMillis(BAR_MILLIS)
+                        .setUpdateIntervalMillis(PROGRESS_UPDATE_MILLIS)
                         .build()) {
             lines =
                     Results.run(
                             experiment,
                             OptionChecks.path(out),
                             commit,
-                            many,
-                            (done, all) -> {
-                                bar.maxHint(all);
+                            threadCount,
+                            (done, total) -> {
+                                bar.maxHint(total);
                                 bar.stepTo(done);
                             });
         }
--- a/src/main/java/cairnbridge/cli/LabHuntCommand.java
+++ b/src/main/java/cairnbridge/cli/LabHuntCommand.java
@@ -10,11 +10,13 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Searches for scenarios in which the default policy does worse than a baseline. */
+/** Searches for scenarios in which the default policy performs worse than a baseline policy. */
 @Command(
         name = "hunt",
         mixinStandardHelpOptions = true,
-        description = "Looks for days on which the program's policy does worse than a simple one.",
+        description =
+                "Searches for scenarios in which the default policy performs worse than a simple"
+                        + " one.",
         footer = "Example: lab hunt --rounds 10 --out lab/found-1.drill")
 final class LabHuntCommand implements Callable<Integer> {
     @Spec private CommandSpec spec;
@@ -22,10 +24,13 @@
     @Option(
             names = "--rounds",
             defaultValue = "10",
-            description = "${DEFAULT-VALUE}, if not given.")
+            description = "Number of search rounds: ${DEFAULT-VALUE}.")
     private int rounds;
 
-    @Option(names = "--days", defaultValue = "32", description = "In each round: ${DEFAULT-VALUE}.")
+    @Option(
+            names = "--days",
+            defaultValue = "32",
+            description = "Candidate scenarios in each round: ${DEFAULT-VALUE}.")
     private int days;
 
     @Mixin private SeedOption seed;
@@ -33,22 +38,22 @@
     @Option(
             names = "--out",
             paramLabel = "FILE",
-            description = "Where the scenario goes that was found.")
+            description = "File for the scenario that is found.")
     private String out;
 
     @Override
     public Integer call() throws IOException {
         OptionChecks.atLeastOne(rounds, "--rounds");
         OptionChecks.atLeastOne(days, "--days");
-        Hunt.Found found = new Hunt(seed.value(), this::say).run(rounds, days);
-        say(found.text());
+        Hunt.Found found = new Hunt(seed.value(), this::print).run(rounds, days);
+        print(found.text());
         if (out != null) {
             Files.writeString(OptionChecks.path(out), found.text());
         }
         return 0;
     }
 
-    private void say(String line) {
+    private void print(String line) {
         spec.commandLine().getOut().println(line);
         spec.commandLine().getOut().flush();
     }
--- a/src/main/java/cairnbridge/cli/LabListCommand.java
+++ b/src/main/java/cairnbridge/cli/LabListCommand.java
@@ -17,27 +17,27 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Lists the scenarios of a folder and says which of them can be played on models. */
+/** Lists the scenarios of a folder and reports which of them the simulation supports. */
 @Command(
         name = "list",
         mixinStandardHelpOptions = true,
         description =
-                "Says which scenarios of a folder can be played on models, and why others"
+                "Reports which scenarios of a folder can be simulated on models, and why others"
                         + " cannot.",
         footer = "Example: lab list drills")
 final class LabListCommand implements Callable<Integer> {
-    private static final String SUFFIX = ".drill";
+    private static final String SCENARIO_SUFFIX = ".drill";
 
     @Spec private CommandSpec spec;
 
-    @Parameters(paramLabel = "FOLDER", description = "Where scenarios are.")
+    @Parameters(paramLabel = "FOLDER", description = "Folder that contains the scenarios.")
     private String folder;
 
     @Override
     public Integer call() {
         for (Path file : scenarioFiles()) {
             Scenario scenario = DrillCommand.read(file.toString());
-            String name = file.getFileName().toString().replace(SUFFIX, "");
+            String name = file.getFileName().toString().replace(SCENARIO_SUFFIX, "");
             spec.commandLine().getOut().printf("%-24s %s%n", name, describe(scenario));
         }
         return 0;
@@ -45,13 +45,13 @@
 
     private List<Path> scenarioFiles() {
         try (Stream<Path> all = Files.list(OptionChecks.path(folder))) {
-            return all.filter(each -> each.toString().endsWith(SUFFIX)).sorted().toList();
+            return all.filter(each -> each.toString().endsWith(SCENARIO_SUFFIX)).sorted().toList();
         } catch (IOException | UncheckedIOException e) {
             throw new ConfigurationException("FOLDER", "cannot be read: " + folder);
         }
     }
 
-    /** The title of a scenario that can be played, or the reason why another cannot. */
+    /** Returns the title of a scenario, or the reason why it cannot be simulated. */
     private static String describe(Scenario scenario) {
         try {
             new Emulation(scenario, Policy.Kind.ROUTER, 1);
--- a/src/main/java/cairnbridge/cli/LabReportCommand.java
+++ b/src/main/java/cairnbridge/cli/LabReportCommand.java
@@ -11,11 +11,11 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Draws the records of runs and the results of experiments on one page. */
+/** Writes one HTML page with plots of run records and experiment results. */
 @Command(
         name = "report",
         mixinStandardHelpOptions = true,
-        description = "Makes one page with plots of what runs and experiments wrote.",
+        description = "Writes one HTML page with plots of run records and experiment results.",
         footer =
                 "Example: lab report target/run.jsonl target/policies.jsonl --out"
                         + " target/report.html")
@@ -32,16 +32,19 @@
             names = "--out",
             required = true,
             paramLabel = "FILE",
-            description = "Where the page goes, HTML.")
+            description = "HTML file to write.")
     private String out;
 
     @Option(
             names = "--png",
             paramLabel = "FOLDER",
-            description = "Where each plot goes as a picture.")
+            description = "Folder for a PNG image of each plot.")
     private String png;
 
-    @Option(names = "--title", defaultValue = "The laboratory", description = "${DEFAULT-VALUE}.")
+    @Option(
+            names = "--title",
+            defaultValue = "The laboratory",
+            description = "Title of the page: ${DEFAULT-VALUE}.")
     private String title;
 
     @Override
--- a/src/main/java/cairnbridge/cli/LabRunCommand.java
+++ b/src/main/java/cairnbridge/cli/LabRunCommand.java
@@ -19,16 +19,16 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Plays one scenario on models and prints its checks and its sums. */
+/** Simulates one scenario on models and prints the result of each check and a summary. */
 @Command(
         name = "run",
         mixinStandardHelpOptions = true,
-        description = "Plays one scenario.",
+        description = "Simulates one scenario.",
         footer = "Example: lab run drills/compare-ring.drill --policy two --seed 3")
 final class LabRunCommand implements Callable<Integer> {
     @Spec private CommandSpec spec;
 
-    @Parameters(paramLabel = "FILE", description = "A scenario, as in drills/.")
+    @Parameters(paramLabel = "FILE", description = "A scenario file, as in drills/.")
     private String file;
 
     @Option(
@@ -42,32 +42,33 @@
     @Option(
             names = "--size",
             defaultValue = "1",
-            description = "Members, caches and load so many times: ${DEFAULT-VALUE}.")
+            description =
+                    "Factor for the number of members and caches and the load: ${DEFAULT-VALUE}.")
     private int size;
 
     @Option(
             names = "--out",
             paramLabel = "FILE",
-            description = "Where the record goes, lines of JSON.")
+            description = "File for the run record, JSON lines.")
     private String out;
 
     @Override
     public Integer call() throws IOException {
-        Policy.Kind kind = kind();
+        Policy.Kind kind = policyKind();
         OptionChecks.atLeastOne(size, "--size");
-        long began = System.nanoTime();
-        Outcome outcome = play(kind);
-        double seconds = (System.nanoTime() - began) / 1e9;
-        outcome.checks().forEach(check -> say(text(check)));
-        outcome.crashes().forEach((name, why) -> say(name + " has crashed: " + why));
-        say(sums(outcome, seconds));
+        long startNanos = System.nanoTime();
+        Outcome outcome = simulate(kind);
+        double seconds = (System.nanoTime() - startNanos) / 1e9;
+        outcome.checks().forEach(check -> print(describe(check)));
+        outcome.crashes().forEach((name, reason) -> print(name + " has crashed: " + reason));
+        print(summary(outcome, seconds));
         if (out != null) {
             Files.writeString(OptionChecks.path(out), RunRecord.lines(outcome));
         }
         return outcome.held() ? 0 : 1;
     }
 
-    private Policy.Kind kind() {
+    private Policy.Kind policyKind() {
         return Arrays.stream(Policy.Kind.values())
                 .filter(each -> each.word().equals(policy))
                 .findFirst()
@@ -77,7 +78,7 @@
                                         "--policy", "there is no policy " + policy));
     }
 
-    private Outcome play(Policy.Kind kind) {
+    private Outcome simulate(Policy.Kind kind) {
         Scenario scenario = DrillCommand.read(file);
         try {
             return new Emulation(scenario.times(size), kind, seed.value()).run();
@@ -86,12 +87,12 @@
         }
     }
 
-    private static String text(Outcome.Check check) {
+    private static String describe(Outcome.Check check) {
         String verdict = check.held() ? "" : "DOES NOT HOLD, ";
         return "line " + check.line() + " " + check.step() + ": " + verdict + check.figures();
     }
 
-    private static String sums(Outcome outcome, double seconds) {
+    private static String summary(Outcome outcome, double seconds) {
         return String.format(
                 Locale.ROOT,
                 "%.4f of %d ops served, median %.1f ms, 99%% within %.1f ms; origin "
@@ -106,7 +107,7 @@
                 outcome.events());
     }
 
-    private void say(String line) {
+    private void print(String line) {
         spec.commandLine().getOut().println(line);
     }
 }
--- a/src/main/java/cairnbridge/cli/Main.java
+++ b/src/main/java/cairnbridge/cli/Main.java
@@ -21,12 +21,12 @@
 import picocli.CommandLine.ParseResult;
 import picocli.CommandLine.Spec;
 
-/** The command line of the service. */
+/** The top-level command; dispatches to the subcommands. */
 @Command(
         name = "cairnbridge",
         mixinStandardHelpOptions = true,
         version = "cairnbridge 0.1.0",
-        description = "Routes ops to a fleet of cache servers.",
+        description = "Routes requests to a fleet of cache servers.",
         subcommands = {
             Main.AdapterCommand.class,
             Main.ServeCommand.class,
@@ -44,29 +44,29 @@
 public final class Main implements Callable<Integer> {
     @Spec private CommandSpec spec;
 
-    /** The exit status of a proxy that cannot go on; the platform starts it again. */
-    private static final int BROKEN = 4;
+    /** Exit status after a critical thread has ended; the platform then restarts the proxy. */
+    private static final int CRITICAL_FAILURE_STATUS = 4;
 
     private static final String LOG_FORMAT = "%1$tFT%1$tT.%1$tL %4$s %5$s%6$s%n";
 
     /** Runs one command and exits with its status. */
     public static void main(String[] args) {
-        System.setProperty("java.util.logging.manager", LastingLogs.class.getName());
+        System.setProperty("java.util.logging.manager", NonResettingLogManager.class.getName());
         System.setProperty("java.util.logging.SimpleFormatter.format", LOG_FORMAT);
-        // Guards against a slow restart: the library's classes are too old for the class archive,
-        // and loading
-        // them takes a quarter of the start. The plain form of the command does without them.
+        // Guards against a slow restart: picocli's class files are too old for the class data
+        // archive,
+        // and loading them takes a quarter of the startup time. Plain "serve" does not load them.
         System.exit(
                 args.length == 1 && args[0].equals("serve")
                         ? serve()
                         : commandLine().execute(args));
     }
 
-    /** All commands, with faults said in one line. */
+    /** Creates the command line; input errors are reported in one line. */
     static CommandLine commandLine() {
         return new CommandLine(new Main())
-                .setExecutionExceptionHandler(Main::faulty)
-                .setParameterExceptionHandler(Main::misread);
+                .setExecutionExceptionHandler(Main::handleExecutionException)
+                .setParameterExceptionHandler(Main::handleParameterException);
     }
 
     private static int serve() {
@@ -80,9 +80,9 @@
         }
     }
 
-    /** What cannot be used is said in one line; any other exception is the library's to show. */
-    private static int faulty(Exception e, CommandLine command, ParseResult parsed)
-            throws Exception {
+    /** Reports an input error in one line; rethrows any other exception for picocli to print. */
+    private static int handleExecutionException(
+            Exception e, CommandLine command, ParseResult parsed) throws Exception {
         if (!(e instanceof MalformedInputException
                 || e instanceof ConfigurationException
                 || e instanceof ScenarioFault)) {
@@ -92,8 +92,8 @@
         return 2;
     }
 
-    /** An option that cannot be read is said in one line; a missing command shows all of them. */
-    private static int misread(CommandLine.ParameterException e, String[] args) {
+    /** Reports an invalid option in one line; prints the usage if a command is missing. */
+    private static int handleParameterException(CommandLine.ParameterException e, String[] args) {
         CommandLine command = e.getCommandLine();
         command.getErr().println(e.getMessage());
         boolean isCommandMissing = e.getClass() == CommandLine.ParameterException.class;
@@ -103,8 +103,8 @@
         return 2;
     }
 
-    private static void end() {
-        Runtime.getRuntime().halt(BROKEN);
+    private static void haltAfterCriticalFailure() {
+        Runtime.getRuntime().halt(CRITICAL_FAILURE_STATUS);
     }
 
     @Override
@@ -112,10 +112,10 @@
         throw new CommandLine.ParameterException(spec.commandLine(), "a command is needed");
     }
 
-    /** Answers batches of events on standard input with decisions. */
+    /** Reads batches of events from standard input and writes the routing decisions. */
     @Command(
             name = "adapter",
-            description = "Speaks the bench's wire on standard input and output.")
+            description = "Speaks the bench's protocol on standard input and output.")
     static final class AdapterCommand implements Callable<Integer> {
         @Override
         public Integer call() throws IOException {
@@ -125,7 +125,7 @@
     }
 
     /** Runs one proxy. */
-    @Command(name = "serve", description = "Runs one proxy on sockets, as its environment says.")
+    @Command(name = "serve", description = "Runs one proxy, configured by environment variables.")
     static final class ServeCommand implements Callable<Integer> {
         @Option(
                 names = "--fleet",
@@ -138,40 +138,42 @@
             ClassDataArchive.logIfUnused();
             ProxyConfig config = ProxyConfig.read(System.getenv());
             FleetConfig member = fleet == null ? null : FleetConfig.read(fleet, config.name());
-            Optional<StateKeeper> keeper = member == null ? Optional.empty() : keeper(member);
-            ProxyServer serve =
+            Optional<StateKeeper> keeper =
+                    member == null ? Optional.empty() : openStateKeeper(member);
+            ProxyServer server =
                     new ProxyServer(
                             config,
-                            Main::end,
+                            Main::haltAfterCriticalFailure,
                             keeper.map(StateKeeper::learntTrust).orElse(WarmStartState.EMPTY));
             try {
                 if (member != null) {
-                    serve.joinFleet(
+                    server.joinFleet(
                             keeper.map(
-                                            mine ->
+                                            opened ->
                                                     member.withPersisted(
-                                                            mine.generation(),
-                                                            mine.rememberedEndpoints()))
+                                                            opened.generation(),
+                                                            opened.rememberedEndpoints()))
                                     .orElse(member),
                             keeper);
                 }
-                // Guards against the machine's own answer to SIGHUP, which is to end.
+                // Guards against the JVM's default handling of SIGHUP, which ends the process.
                 ReloadTrigger.install(
                         ProxyConfig.file(System.getenv()),
-                        () -> serve.reload(() -> ProxyConfig.read(System.getenv())));
-                Runtime.getRuntime().addShutdownHook(new Thread(serve::drain, "drain"));
-                serve.start();
+                        () -> server.reload(() -> ProxyConfig.read(System.getenv())));
+                Runtime.getRuntime().addShutdownHook(new Thread(server::drain, "drain"));
+                server.start();
                 Thread.currentThread().join();
                 return 0;
             } catch (IOException e) {
                 System.err.println(e.getMessage());
-                serve.stop();
+                server.stop();
                 return 1;
             }
         }
     }
 
-    private static Optional<StateKeeper> keeper(FleetConfig member) throws InterruptedException {
+    private static Optional<StateKeeper> openStateKeeper(FleetConfig member)
+            throws InterruptedException {
         return member.recovery().isEmpty()
                 ? Optional.empty()
                 : Optional.of(
@@ -181,19 +183,20 @@
                                 line -> Logger.getLogger(Main.class.getName()).info(line)));
     }
 
-    /** Runs one proxy for a moment, so that a class-data archive can be made. */
+    /** Starts and stops a proxy so that the build can record a class data archive. */
     @Command(
             name = "rehearse",
             hidden = true,
             description =
-                    "Starts a proxy, warms it and ends; the build records the classes it needs.")
+                    "Starts a proxy, warms it up and exits; the build records the loaded classes.")
     static final class RehearseCommand implements Callable<Integer> {
         @Override
         public Integer call() throws IOException, InterruptedException {
-            ClassDataArchive.logIfUnused(); // As serve does, so that its classes are recorded.
-            ProxyServer serve = new ProxyServer(ProxyConfig.rehearsal(), Main::end);
-            serve.start();
-            serve.stop();
+            ClassDataArchive.logIfUnused(); // Called as in serve, so that its classes are recorded.
+            ProxyServer server =
+                    new ProxyServer(ProxyConfig.rehearsal(), Main::haltAfterCriticalFailure);
+            server.start();
+            server.stop();
             return 0;
         }
     }
--- a/src/main/java/cairnbridge/cli/MembersCommand.java
+++ b/src/main/java/cairnbridge/cli/MembersCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Shows the members of the fleet as one running proxy sees them. */
+/** Prints one running proxy's view of the fleet membership. */
 @Command(
         name = "members",
         mixinStandardHelpOptions = true,
@@ -14,10 +14,13 @@
 final class MembersCommand implements Callable<Integer> {
     @Mixin private AdminCall admin;
 
-    @Option(names = "--json", description = "One line of JSON in place of a table.")
+    @Option(names = "--json", description = "Prints one line of JSON instead of a table.")
     private boolean json;
 
-    @Parameters(arity = "0..1", paramLabel = "ID", description = "One member only, as JSON.")
+    @Parameters(
+            arity = "0..1",
+            paramLabel = "ID",
+            description = "Prints only this member, as JSON.")
     private String id;
 
     @Override
--- a/src/main/java/cairnbridge/cli/OptionChecks.java
+++ b/src/main/java/cairnbridge/cli/OptionChecks.java
@@ -4,32 +4,35 @@
 import java.nio.file.InvalidPathException;
 import java.nio.file.Path;
 
-/** Checks of option values that several commands make; a bad value is a {@link ConfigFault}. */
+/**
+ * Checks of option values shared by several commands; each throws a {@link ConfigurationException}
+ * for an invalid value.
+ */
 final class OptionChecks {
     private OptionChecks() {}
 
     /**
-     * Reads a file's or folder's name.
+     * Parses the path of a file or folder.
      *
-     * @param text the name as it was given
+     * @param text the path as given on the command line
      */
     static Path path(String text) {
         try {
             return Path.of(text);
         } catch (InvalidPathException e) {
-            throw new ConfigurationException(text, "is no path");
+            throw new ConfigurationException(text, "is not a valid path");
         }
     }
 
-    /** Refuses a count below 1. */
+    /** Rejects a count below 1. */
     static void atLeastOne(int count, String option) {
-        require(count >= 1, option, "is under 1");
+        require(count >= 1, option, "is less than 1");
     }
 
     /**
-     * Refuses a value unless a condition holds.
+     * Rejects an option value unless a condition holds.
      *
-     * @param complaint what is wrong with the value, as it follows the option's name
+     * @param complaint the error text, printed after the option's name
      */
     static void require(boolean condition, String option, String complaint) {
         if (!condition) {
--- a/src/main/java/cairnbridge/cli/RecoveryCommand.java
+++ b/src/main/java/cairnbridge/cli/RecoveryCommand.java
@@ -4,12 +4,12 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** Shows how far a proxy's recovery after a loss of power is, and which state it had kept. */
+/** Prints the progress of a proxy's recovery after a power loss, and its persisted state. */
 @Command(
         name = "recovery",
         mixinStandardHelpOptions = true,
         description =
-                "Shows how far a proxy's return after a loss of power is, and what it had kept.")
+                "Shows a proxy's progress in recovery after a power loss, and its persisted state.")
 final class RecoveryCommand implements Callable<Integer> {
     @Mixin private AdminCall admin;
 
--- a/src/main/java/cairnbridge/cli/ReloadTrigger.java
+++ b/src/main/java/cairnbridge/cli/ReloadTrigger.java
@@ -10,12 +10,12 @@
 import sun.misc.SignalHandler;
 
 /**
- * Has the configuration read again when the process gets SIGHUP.
+ * Reloads the configuration when the process receives SIGHUP.
  *
- * <p>A process inherits ignored signals from whoever starts it, and the virtual machine leaves a
- * SIGHUP that was ignored at its start ignored for good: no handler is ever called. That is so
- * below {@code nohup} and in some service managers. There the configuration file is watched
- * instead, and a file that has changed stands for the signal.
+ * <p>A process inherits ignored signals from its parent, and the JVM never calls a handler for a
+ * SIGHUP that was ignored at startup. This happens under {@code nohup} and in some service
+ * managers. In that case the configuration file is polled, and each change of the file triggers a
+ * reload.
  */
 final class ReloadTrigger {
     private static final Logger LOG = Logger.getLogger(ReloadTrigger.class.getName());
@@ -23,7 +23,7 @@
 
     private ReloadTrigger() {}
 
-    /** Runs reload for each SIGHUP or, where that cannot arrive, for each change of the file. */
+    /** Runs reload on each SIGHUP or, if SIGHUP is ignored, on each change of the file. */
     static void install(Path configurationFile, Runnable reload) {
         SignalHandler previous = Signal.handle(new Signal(HANG_UP), signal -> reload.run());
         if (previous == SignalHandler.SIG_IGN) {
--- a/src/main/java/cairnbridge/cli/ScaleCommand.java
+++ b/src/main/java/cairnbridge/cli/ScaleCommand.java
@@ -9,7 +9,8 @@
 /** Groups the commands that measure how costs grow with the size of a fleet. */
 @Command(
         name = "scale",
-        description = "Measures what the program costs at several sizes, as JSON lines.",
+        description =
+                "Measures resource costs at several fleet sizes and prints them as JSON lines.",
         subcommands = {
             ScaleControlCommand.class,
             ScaleDataPathCommand.class,
--- a/src/main/java/cairnbridge/cli/ScaleControlCommand.java
+++ b/src/main/java/cairnbridge/cli/ScaleControlCommand.java
@@ -16,11 +16,11 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Measures the control part on fleets of hollow proxies. */
+/** Measures the control plane on fleets of hollow proxies. */
 @Command(
         name = "control",
         mixinStandardHelpOptions = true,
-        description = "Measures the control part on fleets of proxies without clients or caches.",
+        description = "Measures the control plane on fleets of proxies without clients or caches.",
         subcommands = {
             ScaleControlCommand.ProcessCommand.class,
             ScaleControlCommand.TurnsCommand.class,
@@ -44,13 +44,13 @@
     @Option(
             names = "--plays",
             defaultValue = "3",
-            description = "Plays of each size: ${DEFAULT-VALUE}.")
+            description = "Runs of each size: ${DEFAULT-VALUE}.")
     private int plays;
 
     @Option(
             names = "--seed",
             defaultValue = "1",
-            description = "Of all chance in the first play: ${DEFAULT-VALUE}.")
+            description = "Random seed of the first run: ${DEFAULT-VALUE}.")
     private long seed;
 
     @Option(
@@ -74,12 +74,13 @@
     @Option(
             names = "--nodes",
             defaultValue = "0",
-            description = "Cache nodes whose probing members share; 0 for none: ${DEFAULT-VALUE}.")
+            description =
+                    "Cache nodes that the members probe between them; 0: none: ${DEFAULT-VALUE}.")
     private int nodes;
 
     @Option(
             names = "--steady-figures",
-            description = "Members tell the same load and rate all the time.")
+            description = "Members always report the same load and rate.")
     private boolean steadyFigures;
 
     @Override
@@ -103,11 +104,11 @@
         return new MeasurementWriter(System.out, MeasurementContext.here());
     }
 
-    /** Holds a share of the members; started by the measuring process alone. */
+    /** Runs a share of the fleet's members; started only by the measuring process. */
     @Command(
             name = "process",
             hidden = true,
-            description = "Holds members and obeys commands on standard input.")
+            description = "Runs members and executes commands from standard input.")
     static final class ProcessCommand implements Callable<Integer> {
         @Override
         public Integer call() throws IOException, InterruptedException {
@@ -116,11 +117,11 @@
         }
     }
 
-    /** Measures single turns of what goes through all members or nodes. */
+    /** Measures single executions of the work that iterates over all members or nodes. */
     @Command(
             name = "turns",
             mixinStandardHelpOptions = true,
-            description = "Measures the processor time of single turns of what uses the view.")
+            description = "Measures the CPU time of single operations on the membership view.")
     static final class TurnsCommand implements Callable<Integer> {
         @Option(
                 names = "--members",
@@ -141,7 +142,7 @@
         @Option(
                 names = "--plays",
                 defaultValue = "3",
-                description = "Plays of each size: ${DEFAULT-VALUE}.")
+                description = "Runs of each size: ${DEFAULT-VALUE}.")
         private int plays;
 
         @Override
@@ -151,7 +152,7 @@
         }
     }
 
-    /** Fits lines through figures measured by several commands. */
+    /** Fits regression lines through figures written by earlier measurements. */
     @Command(
             name = "fit",
             mixinStandardHelpOptions = true,
@@ -160,7 +161,7 @@
         @Parameters(
                 arity = "1..*",
                 paramLabel = "FILE",
-                description = "JSON lines that this command's parent wrote.")
+                description = "JSON lines written by `scale control`.")
         private List<Path> files;
 
         @Override
--- a/src/main/java/cairnbridge/cli/ScaleDataPathCommand.java
+++ b/src/main/java/cairnbridge/cli/ScaleDataPathCommand.java
@@ -16,29 +16,29 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** What a request, a byte, an idle connection and a node cost a real proxy process. */
+/** Measures the cost of a request, a body byte, an idle connection and a node in a real proxy. */
 @Command(
         name = "data-path",
         mixinStandardHelpOptions = true,
-        description = "Starts a proxy with stand-ins on loopback and measures its process.",
+        description = "Starts a proxy with stub servers on loopback and measures its process.",
         footer =
                 "Example: scale data-path --requests 6000 --body 512,8192,65536"
                         + " --connections 0,500,1000 --nodes 28,310 --seed 1")
 final class ScaleDataPathCommand implements Callable<Integer> {
-    /** The largest body of the deployment's protocol. */
-    private static final int MOST_BODY = 65_536;
+    /** The largest body, in bytes, that the deployment's protocol allows. */
+    private static final int MAX_BODY = 65_536;
 
-    private static final int MOST_REQUESTS = 1_000_000;
-    private static final int MOST_REPEATS = 20;
-    private static final int MOST_CONNECTIONS = 100_000;
-    private static final int MOST_NODES = 5_000;
-    private static final int LEAST_TTL = 50;
-    private static final int MOST_TTL = 10_000;
-    private static final int MOST_RATE = 100_000;
+    private static final int MAX_REQUESTS = 1_000_000;
+    private static final int MAX_REPEATS = 20;
+    private static final int MAX_CONNECTIONS = 100_000;
+    private static final int MAX_NODES = 5_000;
+    private static final int MIN_TTL = 50;
+    private static final int MAX_TTL = 10_000;
+    private static final int MAX_RATE = 100_000;
 
     private static final int WARM_UP_REQUESTS = 3_000;
 
-    /** Long enough for the requests to be asked and weighed before their time is up. */
+    /** TTL, in ms, of the requests whose memory use is measured before any of them expires. */
     private static final int HELD_TTL = 6_000;
 
     @Spec private CommandSpec spec;
@@ -46,7 +46,7 @@
     @Option(
             names = "--requests",
             defaultValue = "6000",
-            description = "Requests of each point: ${DEFAULT-VALUE}.")
+            description = "Requests for each measured point: ${DEFAULT-VALUE}.")
     private String requests;
 
     @Option(
@@ -74,19 +74,19 @@
     @Option(
             names = "--repeats",
             defaultValue = "3",
-            description = "How often all is measured: ${DEFAULT-VALUE}.")
+            description = "Repetitions of the whole measurement: ${DEFAULT-VALUE}.")
     private String repeats;
 
     @Option(
             names = "--rate",
             defaultValue = "1167",
-            description = "Requests a second of all clients: ${DEFAULT-VALUE}.")
+            description = "Requests per second of all clients together: ${DEFAULT-VALUE}.")
     private String rate;
 
     @Option(
             names = "--ttl-ms",
             defaultValue = "800",
-            description = "How long a client waits for its answer: ${DEFAULT-VALUE}.")
+            description = "Milliseconds that a client waits for its response: ${DEFAULT-VALUE}.")
     private String ttl;
 
     @Option(
@@ -94,26 +94,29 @@
             defaultValue = "deploy/serve.args",
             paramLabel = "FILE",
             description = "Arguments of the proxy's virtual machine: ${DEFAULT-VALUE}.")
-    private String machineArguments;
+    private String jvmArgumentsFile;
 
-    @Option(names = "--seed", defaultValue = "1", description = "Of the keys: ${DEFAULT-VALUE}.")
+    @Option(
+            names = "--seed",
+            defaultValue = "1",
+            description = "Seed of the keys: ${DEFAULT-VALUE}.")
     private String seed;
 
     @Override
     public Integer call() throws IOException, InterruptedException {
         DataPathPlan plan =
                 new DataPathPlan(
-                        SizeOption.one("--requests", requests, 1, MOST_REQUESTS),
-                        SizeOption.list("--body", bodies, 0, MOST_BODY),
-                        SizeOption.list("--connections", connections, 0, MOST_CONNECTIONS),
-                        SizeOption.list("--nodes", nodes, 1, MOST_NODES),
-                        SizeOption.one("--rate", rate, 1, MOST_RATE),
-                        SizeOption.one("--ttl-ms", ttl, LEAST_TTL, MOST_TTL),
+                        SizeOption.one("--requests", requests, 1, MAX_REQUESTS),
+                        SizeOption.list("--body", bodies, 0, MAX_BODY),
+                        SizeOption.list("--connections", connections, 0, MAX_CONNECTIONS),
+                        SizeOption.list("--nodes", nodes, 1, MAX_NODES),
+                        SizeOption.one("--rate", rate, 1, MAX_RATE),
+                        SizeOption.one("--ttl-ms", ttl, MIN_TTL, MAX_TTL),
                         WARM_UP_REQUESTS,
                         HELD_TTL,
-                        SizeOption.one("--repeats", repeats, 1, MOST_REPEATS),
+                        SizeOption.one("--repeats", repeats, 1, MAX_REPEATS),
                         SizeOption.seed("--seed", seed),
-                        readable("--jvm-args", machineArguments));
+                        readable("--jvm-args", jvmArgumentsFile));
         checkDescriptors(plan, ProcessFigures.descriptorLimit());
         MeasurementWriter writer = new MeasurementWriter(System.out, MeasurementContext.here());
         try {
@@ -125,7 +128,7 @@
         return 0;
     }
 
-    /** A ConfigFault where a point needs more descriptors than a process here may open. */
+    /** Rejects a plan that needs more file descriptors than the process limit allows. */
     static void checkDescriptors(DataPathPlan plan, int limit) {
         if (plan.descriptors() > limit) {
             throw new ConfigurationException(
@@ -145,7 +148,7 @@
                 return path;
             }
         } catch (InvalidPathException e) {
-            throw new ConfigurationException(option, "is no path");
+            throw new ConfigurationException(option, "is not a valid path");
         }
         throw new ConfigurationException(option, "cannot be read: " + text);
     }
--- a/src/main/java/cairnbridge/cli/ScalePropagationCommand.java
+++ b/src/main/java/cairnbridge/cli/ScalePropagationCommand.java
@@ -18,20 +18,20 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Measures how changes propagate over relays on a simulated net. */
+/** Measures how changes propagate over relays on a simulated network. */
 @Command(
         name = "propagation",
         mixinStandardHelpOptions = true,
         description =
-                "Measures on a simulated net how fast changes come into force at all members, and"
+                "Measures on a simulated network how fast changes take effect at all members, and"
                         + " at what cost; times are simulated.")
 final class ScalePropagationCommand implements Callable<Integer> {
-    private static final int LEAST_MEMBERS = 20;
-    private static final int MOST_MEMBERS = 20_000;
+    private static final int MIN_MEMBERS = 20;
+    private static final int MAX_MEMBERS = 20_000;
     private static final int CONFIGURATION_BYTES = 600;
     private static final int PURGE_BYTES = 60;
-    private static final int PURGES_A_SECOND = 16;
-    private static final long CONFIGURATION_EVERY = 5 * Ticks.SECOND;
+    private static final int PURGES_PER_SECOND = 16;
+    private static final long CONFIGURATION_INTERVAL = 5 * Ticks.SECOND;
 
     @Option(
             names = "--members",
@@ -42,41 +42,41 @@
     @Option(
             names = "--changes",
             defaultValue = "100",
-            description = "Configurations, one in 5 s: ${DEFAULT-VALUE}.")
+            description = "Configurations published, one every 5 s: ${DEFAULT-VALUE}.")
     private int changes;
 
     @Option(
             names = "--purge-seconds",
             defaultValue = "0",
-            description = "Publishes 16 purges a second for so long instead.")
+            description = "Publishes 16 purges per second for this many seconds instead.")
     private int purgeSeconds;
 
     @Option(
             names = "--loss",
             defaultValue = "0",
-            description = "Part of messages lost, from 0 to 1.")
+            description = "Fraction of messages lost, from 0 to 1.")
     private double loss;
 
     @Option(
             names = "--kill-relay",
-            description = "Kills a relay with each change under way; it is back after 15 s.")
+            description = "Kills a relay during each change; the relay restarts after 15 s.")
     private boolean killRelay;
 
     @Option(
             names = "--direct",
-            description = "Without relays: members subscribe with control machines.")
+            description = "Without relays: members subscribe directly to control servers.")
     private boolean direct;
 
-    @Option(names = "--seed", defaultValue = "1", description = "Of all chance.")
+    @Option(names = "--seed", defaultValue = "1", description = "Random seed.")
     private long seed;
 
     @Override
     public Integer call() throws IOException {
-        check(members >= LEAST_MEMBERS && members <= MOST_MEMBERS, "--members");
-        check(changes >= 1, "--changes");
-        check(purgeSeconds >= 0, "--purge-seconds");
-        check(loss >= 0 && loss < 1, "--loss");
-        check(!killRelay || !direct && purgeSeconds == 0, "--kill-relay");
+        requireInRange(members >= MIN_MEMBERS && members <= MAX_MEMBERS, "--members");
+        requireInRange(changes >= 1, "--changes");
+        requireInRange(purgeSeconds >= 0, "--purge-seconds");
+        requireInRange(loss >= 0 && loss < 1, "--loss");
+        requireInRange(!killRelay || !direct && purgeSeconds == 0, "--kill-relay");
         Plan plan = purgeSeconds > 0 ? purges() : configurations();
         MeasurementWriter writer = new MeasurementWriter(System.out, MeasurementContext.here());
         writer.write(name(), settings(plan), figures(PropagationRuns.run(plan)));
@@ -97,7 +97,7 @@
                 changes,
                 CONFIGURATION_BYTES,
                 true,
-                CONFIGURATION_EVERY,
+                CONFIGURATION_INTERVAL,
                 seed);
     }
 
@@ -108,10 +108,10 @@
                 direct,
                 loss,
                 false,
-                PURGES_A_SECOND * purgeSeconds,
+                PURGES_PER_SECOND * purgeSeconds,
                 PURGE_BYTES,
                 false,
-                Ticks.SECOND / PURGES_A_SECOND,
+                Ticks.SECOND / PURGES_PER_SECOND,
                 seed);
     }
 
@@ -157,8 +157,8 @@
         figures.put(name + "_messages_per_second", traffic.messages());
     }
 
-    private static void check(boolean holds, String key) {
-        if (!holds) {
+    private static void requireInRange(boolean inRange, String key) {
+        if (!inRange) {
             throw new ConfigurationException(key, "is out of range");
         }
     }
--- a/src/main/java/cairnbridge/cli/ScaleTurnsCommand.java
+++ b/src/main/java/cairnbridge/cli/ScaleTurnsCommand.java
@@ -14,11 +14,11 @@
 @Command(
         name = "turns",
         mixinStandardHelpOptions = true,
-        description = "Measures the processor time of each part of a member's periodic work.")
+        description = "Measures the CPU time of each part of a member's periodic work.")
 final class ScaleTurnsCommand implements Callable<Integer> {
-    private static final int MOST_MEMBERS = 16_384;
-    private static final int MOST_NODES = 100_000;
-    private static final int MOST_PLAYS = 1_000;
+    private static final int MAX_MEMBERS = 16_384;
+    private static final int MAX_NODES = 100_000;
+    private static final int MAX_PLAYS = 1_000;
 
     @Option(
             names = "--members",
@@ -37,20 +37,20 @@
     @Option(
             names = "--plays",
             defaultValue = "3",
-            description = "How often each part is measured (default: ${DEFAULT-VALUE}).")
+            description = "Measurements of each part (default: ${DEFAULT-VALUE}).")
     private int plays;
 
     @Option(
             names = "--seed",
             defaultValue = "1",
-            description = "Of the generated fleets (default: ${DEFAULT-VALUE}).")
+            description = "Random seed of the generated fleets (default: ${DEFAULT-VALUE}).")
     private long seed;
 
     @Override
     public Integer call() throws IOException {
-        members.forEach(size -> requireWithin("--members", size, 2, MOST_MEMBERS));
-        nodes.forEach(size -> requireWithin("--nodes", size, 1, MOST_NODES));
-        requireWithin("--plays", plays, 1, MOST_PLAYS);
+        members.forEach(size -> requireWithin("--members", size, 2, MAX_MEMBERS));
+        nodes.forEach(size -> requireWithin("--nodes", size, 1, MAX_NODES));
+        requireWithin("--plays", plays, 1, MAX_PLAYS);
         if (nodes.size() != members.size()) {
             throw new ConfigurationException("--nodes", "needs one number for each of --members");
         }
--- a/src/main/java/cairnbridge/cli/SimulateCommand.java
+++ b/src/main/java/cairnbridge/cli/SimulateCommand.java
@@ -7,13 +7,13 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Measures the fleet's view on a simulated net. */
+/** Measures the fleet's membership view on a simulated network. */
 @Command(
         name = "simulate",
         mixinStandardHelpOptions = true,
         description =
-                "Measures the fleet's view on a simulated net; the same seed gives the same"
-                        + " figures.")
+                "Measures the membership view on a simulated network; the same seed gives the"
+                        + " same figures.")
 final class SimulateCommand implements Callable<Integer> {
     @Spec private CommandSpec spec;
 
@@ -26,64 +26,64 @@
     @Option(
             names = "--changes",
             defaultValue = "60",
-            description = "Crashes, leaves and joins, one a second.")
+            description = "Crashes, leaves and joins, one per second.")
     private int changes;
 
     @Option(
             names = "--quiet",
             defaultValue = "20",
-            description = "Seconds without a change before these: ${DEFAULT-VALUE}.")
+            description = "Seconds without a change before the first one: ${DEFAULT-VALUE}.")
     private int quiet;
 
-    @Option(names = "--settled", description = "Begins with members who know one another already.")
+    @Option(names = "--settled", description = "Starts with members that already know each other.")
     private boolean settled;
 
     @Option(
             names = "--hours",
             defaultValue = "0",
-            description = "Counts false deaths over so long instead.")
+            description = "Counts false death verdicts over this many hours instead.")
     private double hours;
 
     @Option(
             names = "--freezes",
             defaultValue = "0",
-            description = "Freezes of 3 s an hour, with --hours.")
+            description = "Freezes of 3 s per hour, with --hours.")
     private int freezes;
 
     @Option(
             names = "--killed",
             defaultValue = "0",
-            description = "Kills this part of the members in one instant instead, from 0 to 1.")
+            description = "Kills this fraction of the members at once instead, from 0 to 1.")
     private double killed;
 
     @Option(
             names = "--seeds",
             defaultValue = "20",
-            description = "Courses, with --killed: ${DEFAULT-VALUE}.")
+            description = "Number of runs, with --killed: ${DEFAULT-VALUE}.")
     private int seeds;
 
     @Option(
             names = "--loss",
             defaultValue = "0",
-            description = "Part of datagrams lost, from 0 to 1.")
+            description = "Fraction of datagrams lost, from 0 to 1.")
     private double loss;
 
-    @Option(names = "--seed", defaultValue = "1", description = "Of all chance.")
+    @Option(names = "--seed", defaultValue = "1", description = "Random seed.")
     private long seed;
 
     @Override
     public Integer call() {
-        check(members >= 4, "--members");
-        check(changes >= 1, "--changes");
-        check(quiet >= 1, "--quiet");
-        check(loss >= 0 && loss <= 1, "--loss");
-        check(killed >= 0 && killed < 1, "--killed");
-        check(seeds >= 1, "--seeds");
-        spec.commandLine().getOut().println(measured());
+        requireInRange(members >= 4, "--members");
+        requireInRange(changes >= 1, "--changes");
+        requireInRange(quiet >= 1, "--quiet");
+        requireInRange(loss >= 0 && loss <= 1, "--loss");
+        requireInRange(killed >= 0 && killed < 1, "--killed");
+        requireInRange(seeds >= 1, "--seeds");
+        spec.commandLine().getOut().println(measure());
         return 0;
     }
 
-    private String measured() {
+    private String measure() {
         if (hours > 0) {
             return ViewRuns.falseDeaths(members, loss, freezes, hours, seed);
         }
@@ -93,7 +93,7 @@
         return ViewRuns.spread(members, changes, quiet, loss, settled, seed);
     }
 
-    private static void check(boolean inRange, String option) {
+    private static void requireInRange(boolean inRange, String option) {
         OptionChecks.require(inRange, option, "is out of range");
     }
 }
--- a/src/main/java/cairnbridge/cli/SizeOption.java
+++ b/src/main/java/cairnbridge/cli/SizeOption.java
@@ -4,16 +4,16 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads numbers off the command line; one that cannot be used is a fault that names the option. */
+/** Parses numeric option values; the exception for an invalid value names the option. */
 final class SizeOption {
     private SizeOption() {}
 
-    /** One whole number within bounds. */
+    /** Parses one integer between least and most, both included. */
     static int one(String option, String text, int least, int most) {
         return (int) within(option, text, least, most);
     }
 
-    /** Whole numbers parted by commas, at least one. */
+    /** Parses a comma-separated list of one or more integers, each between least and most. */
     static List<Integer> list(String option, String text, int least, int most) {
         List<Integer> sizes = new ArrayList<>();
         for (String part : text.split(",", -1)) {
@@ -22,17 +22,17 @@
         return sizes;
     }
 
-    /** Any number within bounds. */
+    /** Parses a decimal number between least and most, both included. */
     static double decimal(String option, String text, double least, double most) {
         return within(option, text, least, most);
     }
 
-    /** The seed of all chance. */
+    /** Parses a random seed, which may be any long value. */
     static long seed(String option, String text) {
         try {
             return Long.parseLong(text);
         } catch (NumberFormatException e) {
-            throw new ConfigurationException(option, "'" + text + "' is no whole number");
+            throw new ConfigurationException(option, "'" + text + "' is not a whole number");
         }
     }
 
@@ -41,7 +41,7 @@
         try {
             number = Long.parseLong(text);
         } catch (NumberFormatException e) {
-            throw new ConfigurationException(option, "'" + text + "' is no whole number");
+            throw new ConfigurationException(option, "'" + text + "' is not a whole number");
         }
         if (number < least || number > most) {
             throw new ConfigurationException(
@@ -55,7 +55,7 @@
         try {
             number = Double.parseDouble(text);
         } catch (NumberFormatException e) {
-            throw new ConfigurationException(option, "'" + text + "' is no number");
+            throw new ConfigurationException(option, "'" + text + "' is not a number");
         }
         if (!(number >= least && number <= most)) {
             throw new ConfigurationException(
--- a/src/main/java/cairnbridge/cli/ZonesCommand.java
+++ b/src/main/java/cairnbridge/cli/ZonesCommand.java
@@ -6,33 +6,33 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** Shows the zone plan that is in force at a proxy, and drains or restores a zone. */
+/** Prints the zone plan in force at a proxy, or drains or restores a zone. */
 @Command(
         name = "zones",
         mixinStandardHelpOptions = true,
-        description = "Shows the plan over zones at a proxy; drains a zone or restores it.")
+        description = "Shows the zone plan in force at a proxy; drains or restores a zone.")
 final class ZonesCommand implements Callable<Integer> {
     @Mixin private AdminCall admin;
 
     @Option(
             names = "--drain",
             paramLabel = "ZONE",
-            description = "Moves a zone's traffic elsewhere, step by step.")
+            description = "Moves the traffic of a zone to other zones in steps.")
     private String drain;
 
     @Option(
             names = "--seconds",
             defaultValue = "0",
-            description = "Not given back before, with --drain.")
+            description = "Minimum seconds before the zone is restored, with --drain.")
     private int seconds;
 
-    @Option(names = "--restore", paramLabel = "ZONE", description = "Gives a drained zone back.")
+    @Option(names = "--restore", paramLabel = "ZONE", description = "Restores a drained zone.")
     private String restore;
 
     @Override
     public Integer call() {
         if (drain != null && restore != null) {
-            throw new ConfigurationException("--restore", "goes not with --drain");
+            throw new ConfigurationException("--restore", "cannot be combined with --drain");
         }
         return admin.send(request());
     }
--- a/src/main/java/cairnbridge/cli/package-info.java
+++ b/src/main/java/cairnbridge/cli/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The command line: one class per command, each of which reads its options and hands over to the
- * package that does the work. Exit status 2 stands for bad input.
+ * The command line: one class per command, which parses its options and calls the package that
+ * implements the command. Exit status 2 means invalid input.
  */
 package cairnbridge.cli;
--- a/src/test/java/cairnbridge/cli/FileChangesTest.java
+++ b/src/test/java/cairnbridge/cli/FileChangesTest.java
@@ -11,19 +11,19 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** When a file counts as changed. */
+/** Tests which modifications of a file count as a change. */
 class FileChangesTest {
     @TempDir private Path folder;
 
     @Test
-    void aFileThatIsLeftAloneHasNotChanged() throws IOException {
+    void anUnmodifiedFileHasNotChanged() throws IOException {
         FileChanges changes = new FileChanges(write("config", "{}"));
         assertFalse(changes.poll());
         assertFalse(changes.poll());
     }
 
     @Test
-    void aReplacementOfTheSameSizeAndTimeIsAChangeOnce() throws IOException {
+    void aReplacementWithTheSameSizeAndTimeIsReportedOnce() throws IOException {
         Path file = write("config", "{1}");
         FileTime time = Files.getLastModifiedTime(file);
         FileChanges changes = new FileChanges(file);
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void aFileWrittenInPlaceIsAChange() throws IOException {
+    void aFileModifiedInPlaceHasChanged() throws IOException {
         Path file = write("config", "{}");
         FileChanges changes = new FileChanges(file);
         Files.writeString(file, "{ }");
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void aFileThatIsAwayForAMomentCountsOnceItIsBack() throws IOException {
+    void anAbsentFileIsReportedOnlyAfterItIsRecreated() throws IOException {
         Path file = write("config", "{}");
         FileChanges changes = new FileChanges(file);
         Files.delete(file);
--- a/src/test/java/cairnbridge/cli/LabListCommandTest.java
+++ b/src/test/java/cairnbridge/cli/LabListCommandTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What {@code lab list} prints and refuses. */
+/** Tests the output and the errors of {@code lab list}. */
 class LabListCommandTest {
     @TempDir private Path folder;
     private final StringWriter output = new StringWriter();
@@ -24,16 +24,16 @@
                 .execute("lab", "list", where.toString());
     }
 
-    /** Guards against a stack trace where a line that names the folder is due. */
+    /** Guards against printing a stack trace instead of one line that names the missing folder. */
     @Test
-    void aFolderThatIsNotThereIsSaidInOneLine() {
+    void aMissingFolderIsReportedInOneLine() {
         assertEquals(2, list(folder.resolve("missing")));
         assertEquals(1, errors.toString().lines().count(), errors.toString());
         assertTrue(errors.toString().contains("missing"), errors.toString());
     }
 
     @Test
-    void scenariosAloneAreListed() throws IOException {
+    void onlyScenarioFilesAreListed() throws IOException {
         Files.copy(Path.of("drills", "calm.drill"), folder.resolve("calm.drill"));
         Files.writeString(folder.resolve("notes.txt"), "no scenario");
         assertEquals(0, list(folder));
--- a/src/test/java/cairnbridge/cli/ScaleCommandsTest.java
+++ b/src/test/java/cairnbridge/cli/ScaleCommandsTest.java
@@ -17,10 +17,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import picocli.CommandLine;
 
-/** A size that cannot be used is said in one line that names its option, before anything runs. */
+/** Tests that an invalid option value is reported in one line that names the option. */
 class ScaleCommandsTest {
-    private static final int FAULTY = 2;
-    private static final long WITHIN_SECONDS = 30;
+    private static final int INVALID_INPUT_STATUS = 2;
+    private static final long EXIT_TIMEOUT_SECONDS = 30;
 
     @ParameterizedTest
     @CsvSource({
@@ -40,8 +40,8 @@
         "--fleet-seconds, -1",
         "--seed, x"
     })
-    void theRouterCommandNamesTheOptionThatCannotBeUsed(String option, String text) {
-        assertNames(new ScaleRouterCommand(), option, text);
+    void theRouterCommandNamesTheInvalidOption(String option, String text) {
+        assertOptionNamed(new ScaleRouterCommand(), option, text);
     }
 
     @ParameterizedTest
@@ -57,12 +57,12 @@
         "--seed, x",
         "--jvm-args, no-such-file"
     })
-    void theDataPathCommandNamesTheOptionThatCannotBeUsed(String option, String text) {
-        assertNames(new ScaleDataPathCommand(), option, text);
+    void theDataPathCommandNamesTheInvalidOption(String option, String text) {
+        assertOptionNamed(new ScaleDataPathCommand(), option, text);
     }
 
     @Test
-    void aPointThatNeedsMoreDescriptorsThanAreAllowedIsRefusedBeforeItStarts() {
+    void aPlanThatNeedsTooManyDescriptorsIsRejected() {
         DataPathPlan plan =
                 new DataPathPlan(
                         1,
@@ -77,26 +77,28 @@
                         1,
                         Path.of("none"));
         ScaleDataPathCommand.checkDescriptors(plan, plan.descriptors());
-        ConfigurationException fault =
+        ConfigurationException exception =
                 assertThrows(
                         ConfigurationException.class,
                         () -> ScaleDataPathCommand.checkDescriptors(plan, plan.descriptors() - 1));
-        assertTrue(fault.getMessage().startsWith("--connections: "), fault.getMessage());
+        assertTrue(exception.getMessage().startsWith("--connections: "), exception.getMessage());
     }
 
-    private static void assertNames(Callable<Integer> command, String option, String text) {
+    private static void assertOptionNamed(Callable<Integer> command, String option, String text) {
         new CommandLine(command).parseArgs(option, text);
-        ConfigurationException fault = assertThrows(ConfigurationException.class, command::call);
-        assertTrue(fault.getMessage().startsWith(option + ": "), fault.getMessage());
-        assertEquals(1, fault.getMessage().lines().count());
+        ConfigurationException exception =
+                assertThrows(ConfigurationException.class, command::call);
+        assertTrue(exception.getMessage().startsWith(option + ": "), exception.getMessage());
+        assertEquals(1, exception.getMessage().lines().count());
     }
 
     @Test
-    void aFaultEndsTheProcessWithOneLineAndStatusTwo() throws Exception {
-        assertFaulty("--nodes: 0 is not from 1 to 20000", "scale", "router", "--nodes", "0");
+    void anInvalidOptionEndsTheProcessWithOneLineAndStatusTwo() throws Exception {
+        assertExitsWithError(
+                "--nodes: 0 is not from 1 to 20000", "scale", "router", "--nodes", "0");
     }
 
-    private static void assertFaulty(String line, String... arguments) throws Exception {
+    private static void assertExitsWithError(String line, String... arguments) throws Exception {
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.addAll(
@@ -104,11 +106,13 @@
         command.addAll(List.of(arguments));
         Process process = new ProcessBuilder(command).redirectErrorStream(true).start();
         try {
-            assertTrue(process.waitFor(WITHIN_SECONDS, TimeUnit.SECONDS), "it ends by itself");
-            String said =
+            assertTrue(
+                    process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS),
+                    "the process did not exit in time");
+            String output =
                     new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-            assertEquals(List.of(line), said.lines().toList());
-            assertEquals(FAULTY, process.exitValue());
+            assertEquals(List.of(line), output.lines().toList());
+            assertEquals(INVALID_INPUT_STATUS, process.exitValue());
         } finally {
             process.destroyForcibly();
         }
--- a/src/test/java/cairnbridge/cli/ScaleControlCommandTest.java
+++ b/src/test/java/cairnbridge/cli/ScaleControlCommandTest.java
@@ -11,10 +11,10 @@
 import org.junit.jupiter.api.Timeout;
 import picocli.CommandLine;
 
-/** Faults on the command line of the scale test of the control part. */
+/** Tests how {@code scale control} reports invalid options. */
 @Timeout(30)
 class ScaleControlCommandTest {
-    private static void assertFault(String key, String... options) {
+    private static void assertReportedInOneLine(String key, String... options) {
         StringWriter errors = new StringWriter();
         List<String> line = new ArrayList<>(List.of("scale", "control"));
         line.addAll(List.of(options));
@@ -25,25 +25,25 @@
     }
 
     @Test
-    void badSizesAreSaidInOneLine() {
-        assertFault("--members", "--members", "3");
-        assertFault("--members", "--members", "many");
-        assertFault("--members", "--members", "50,many");
-        assertFault("--members", "--members", "1000000");
-        assertFault("--processes", "--processes", "0");
-        assertFault("--processes", "--members", "900", "--processes", "101");
-        assertFault("--plays", "--plays", "0");
-        assertFault("--quiet-seconds", "--quiet-seconds", "0");
-        assertFault("--settle-seconds", "--settle-seconds", "-1");
-        assertFault("--changes", "--changes", "-1");
-        assertFault("--nodes", "--nodes", "-1");
+    void invalidSizesAreReportedInOneLine() {
+        assertReportedInOneLine("--members", "--members", "3");
+        assertReportedInOneLine("--members", "--members", "many");
+        assertReportedInOneLine("--members", "--members", "50,many");
+        assertReportedInOneLine("--members", "--members", "1000000");
+        assertReportedInOneLine("--processes", "--processes", "0");
+        assertReportedInOneLine("--processes", "--members", "900", "--processes", "101");
+        assertReportedInOneLine("--plays", "--plays", "0");
+        assertReportedInOneLine("--quiet-seconds", "--quiet-seconds", "0");
+        assertReportedInOneLine("--settle-seconds", "--settle-seconds", "-1");
+        assertReportedInOneLine("--changes", "--changes", "-1");
+        assertReportedInOneLine("--nodes", "--nodes", "-1");
     }
 
     @Test
-    void unknownOptionsAreSaidInOneLine() {
-        assertFault("--sites", "--sites", "3");
-        assertFault("--members", "turns", "--members", "1");
-        assertFault("--nodes", "turns", "--nodes", "0");
-        assertFault("missing.jsonl", "fit", "missing.jsonl");
+    void unknownOptionsAreReportedInOneLine() {
+        assertReportedInOneLine("--sites", "--sites", "3");
+        assertReportedInOneLine("--members", "turns", "--members", "1");
+        assertReportedInOneLine("--nodes", "turns", "--nodes", "0");
+        assertReportedInOneLine("missing.jsonl", "fit", "missing.jsonl");
     }
 }
