--- a/src/main/java/cairnbridge/cli/Main.java
+++ b/src/main/java/cairnbridge/cli/Main.java
@@ -54,8 +54,8 @@
         System.setProperty("java.util.logging.manager", NonResettingLogManager.class.getName());
         System.setProperty("java.util.logging.SimpleFormatter.format", LOG_FORMAT);
         // Guards against a slow restart: picocli's class files are too old for the class data
-        // archive,
-        // and loading them takes a quarter of the startup time. Plain "serve" does not load them.
+        // archive, and loading them takes a quarter of the startup time. The command "serve"
+        // without arguments does not load them.
         System.exit(
                 args.length == 1 && args[0].equals("serve")
                         ? serve()
--- a/src/main/java/cairnbridge/cli/ScaleDataPathCommand.java
+++ b/src/main/java/cairnbridge/cli/ScaleDataPathCommand.java
@@ -38,7 +38,10 @@
 
     private static final int WARM_UP_REQUESTS = 3_000;
 
-    /** TTL, in ms, of the requests whose memory use is measured before any of them expires. */
+    /**
+     * TTL, in ms, of the requests whose memory use is measured; long enough to send and measure all
+     * of them before the first one expires.
+     */
     private static final int HELD_TTL = 6_000;
 
     @Spec private CommandSpec spec;
--- a/src/test/java/cairnbridge/cli/ScaleCommandsTest.java
+++ b/src/test/java/cairnbridge/cli/ScaleCommandsTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import picocli.CommandLine;
 
-/** Tests that an invalid option value is reported in one line that names the option. */
+/** Tests that an invalid option is reported in one line that names it, before any measurement. */
 class ScaleCommandsTest {
     private static final int INVALID_INPUT_STATUS = 2;
     private static final long EXIT_TIMEOUT_SECONDS = 30;
