--- a/src/main/java/cairnbridge/cli/RecoveryCommand.java
+++ b/src/main/java/cairnbridge/cli/RecoveryCommand.java
@@ -4,12 +4,13 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** Shows how far a proxy's recovery after a loss of power is, and which state it had kept. */
+/** Prints a proxy's progress in recovery after a power loss, and the state it had persisted. */
 @Command(
         name = "recovery",
         mixinStandardHelpOptions = true,
         description =
-                "Shows how far a proxy's return after a loss of power is, and what it had kept.")
+                "Shows a proxy's progress in recovery after a power loss, and the state it"
+                        + " had persisted.")
 final class RecoveryCommand implements Callable<Integer> {
     @Mixin private AdminCall admin;
 
