--- a/src/main/java/cairnbridge/config/FleetConfig.java
+++ b/src/main/java/cairnbridge/config/FleetConfig.java
@@ -90,8 +90,8 @@
     }
 
     /**
-     * Returns this configuration with the generation and the member endpoints that were persisted;
-     * see {@link TransportSettings#withPersisted}.
+     * A copy of this configuration with this run's generation and the member endpoints persisted by
+     * an earlier run; see {@link TransportSettings#withPersisted}.
      */
     public FleetConfig withPersisted(long generation, List<Endpoint> remembered) {
         return new FleetConfig(
--- a/src/main/java/cairnbridge/decision/ConcurrencyLimit.java
+++ b/src/main/java/cairnbridge/decision/ConcurrencyLimit.java
@@ -44,7 +44,8 @@
     }
 
     /**
-     * The lowest level. It is divided by the number of proxies, which all send to the same origin.
+     * The level below which no cut goes: this proxy's equal share of 6 requests at the origin that
+     * all proxies share, but at most 2.
      */
     double minimum() {
         return Math.min(2, 6 / context.proxyCount());
--- a/src/main/java/cairnbridge/fleet/transport/TransportSettings.java
+++ b/src/main/java/cairnbridge/fleet/transport/TransportSettings.java
@@ -63,10 +63,11 @@
     }
 
     /**
-     * A copy of these settings with the state that was persisted before a power loss.
+     * A copy of these settings with this run's generation and the members persisted by an earlier
+     * run.
      *
      * @param generation the generation of this run
-     * @param remembered endpoints of members known before the loss
+     * @param remembered endpoints of members known from an earlier run
      */
     public TransportSettings withPersisted(long generation, List<Endpoint> remembered) {
         return new TransportSettings(
--- a/src/main/java/cairnbridge/propagation/Downstream.java
+++ b/src/main/java/cairnbridge/propagation/Downstream.java
@@ -184,7 +184,7 @@
         }
     }
 
-    /** Charges the bytes of a message frame, which may make the credit negative. */
+    /** Charges the size of a message frame, which may make the credit negative. */
     void frameSent(int bytes, long now) {
         credit -= bytes;
         lastSentAt = now;
--- a/src/main/java/cairnbridge/propagation/Fragment.java
+++ b/src/main/java/cairnbridge/propagation/Fragment.java
@@ -17,7 +17,7 @@
         int index,
         int count,
         byte[] bytes) {
-    /** The encoded size of positions, flag, index, count and length. */
+    /** The assumed encoded size in bytes of positions, flag, index, count and length. */
     static final int HEADER_BYTES = 16;
 
     /** Whether a receiver with all changes up to a position can apply the change next. */
@@ -30,7 +30,7 @@
         return new Change(position, previous, superseding, bytes);
     }
 
-    /** The encoded size in bytes. */
+    /** The assumed encoded size in bytes of this fragment, header included. */
     int size() {
         return HEADER_BYTES + bytes.length;
     }
--- a/src/main/java/cairnbridge/propagation/FragmentAssembler.java
+++ b/src/main/java/cairnbridge/propagation/FragmentAssembler.java
@@ -18,7 +18,7 @@
         this.maxBytes = maxBytes;
     }
 
-    /** The bytes buffered for an incomplete change. */
+    /** The number of bytes buffered for an incomplete change. */
     int bytes() {
         return bytes;
     }
--- a/src/main/java/cairnbridge/propagation/Message.java
+++ b/src/main/java/cairnbridge/propagation/Message.java
@@ -4,7 +4,7 @@
 
 /** The messages of one topic between members and control machines. */
 public sealed interface Message {
-    /** The bytes a transport adds to each datagram: address headers, seal, sender and kind. */
+    /** The number of bytes a transport adds to a datagram: address headers, seal, sender, kind. */
     int FRAME_BYTES = 110;
 
     /** The highest epoch the sender has seen. */
--- a/src/main/java/cairnbridge/propagation/Subscriber.java
+++ b/src/main/java/cairnbridge/propagation/Subscriber.java
@@ -109,12 +109,12 @@
         return downstreams.maxInFlightBytes();
     }
 
-    /** The bytes buffered for an incomplete change. */
+    /** The number of bytes buffered for an incomplete change. */
     public int assemblerBytes() {
         return assembler.bytes();
     }
 
-    /** The bytes buffered for changes that arrived before their predecessors. */
+    /** The number of bytes buffered for changes that arrived before their predecessors. */
     public int reorderBytes() {
         return reorder.bytes();
     }
--- a/src/main/java/cairnbridge/proxy/ClientExchange.java
+++ b/src/main/java/cairnbridge/proxy/ClientExchange.java
@@ -191,7 +191,10 @@
         return body.receivedBytes();
     }
 
-    /** The bytes received of a streamed body if more can be read now; otherwise less than 0. */
+    /**
+     * The number of bytes received of a streamed body if more can be read now; otherwise less than
+     * 0.
+     */
     public long streamedBytesIfReadable() {
         boolean readable = body.isStreamed() && !requestComplete && !body.isBackpressured();
         return readable ? body.receivedBytes() : -1;
--- a/src/main/java/cairnbridge/proxy/GracefulShutdown.java
+++ b/src/main/java/cairnbridge/proxy/GracefulShutdown.java
@@ -6,9 +6,9 @@
 import java.util.logging.Logger;
 
 /**
- * The drain phase of a planned shutdown: continues to serve as long as a new request can still be
- * answered in time, finishes the requests in flight and closes the client connections. It runs
- * once, on the calling thread, in bounded time.
+ * The drain phase of a planned shutdown: hands over to a ready successor at once, or else continues
+ * to serve as long as a new request can still be answered in time; then finishes the requests in
+ * flight and closes the client connections. It runs once, on the calling thread, in bounded time.
  */
 final class GracefulShutdown {
     private static final Logger LOG = Logger.getLogger(GracefulShutdown.class.getName());
@@ -82,9 +82,10 @@
     }
 
     /**
-     * Guards against a gap in service while the proxy that was restarted before this one is not
-     * ready yet: clients with open connections are still served here, and no request is kept beyond
-     * the shutdown deadline.
+     * Serves as before for the given time, then closes each connection with its next response and
+     * stops listening. Guards against a gap in service while the proxy restarted just before, in a
+     * rolling restart, is not ready yet: clients with open connections are still served here, and
+     * no request is kept beyond the shutdown deadline.
      */
     private void serveThenClose(long servingMillis) throws InterruptedException {
         Thread.sleep(servingMillis);
@@ -96,8 +97,9 @@
     }
 
     /**
-     * Guards against requests that are sent on a connection which this process has closed: each
-     * connection is closed with its next response.
+     * Stops listening at once and waits until the clients' connections are closed, or until the
+     * deadline. Guards against requests that are sent on a connection which this process has
+     * closed: each connection is closed with its next response.
      */
     private void drainToSuccessor(long deadlineNanos) throws InterruptedException {
         criticalThreads.markStopping();
@@ -117,6 +119,7 @@
     }
 
     /**
+     * Closes idle connections until no request and no connection is left, or until the deadline.
      * Guards against a truncated response: a connection is closed only once the last byte of its
      * response is written.
      */
--- a/src/main/java/cairnbridge/proxy/LingeringSession.java
+++ b/src/main/java/cairnbridge/proxy/LingeringSession.java
@@ -26,7 +26,7 @@
     private volatile long closingAtNanos = NOT_CLOSING;
     private volatile boolean peerClosed;
 
-    /** The bytes discarded so far. Reactor's thread only. */
+    /** The number of bytes discarded so far. Reactor's thread only. */
     private long discardedBytes;
 
     /**
--- a/src/main/java/cairnbridge/proxy/RequestCompletion.java
+++ b/src/main/java/cairnbridge/proxy/RequestCompletion.java
@@ -5,7 +5,8 @@
 import java.util.function.Consumer;
 
 /**
- * Answers each request once, or drops it if its client has disconnected. Used only by the
+ * Ends each request once: sends the answer that the router has chosen, fails the request if the
+ * router has left it unanswered, or drops it if its client has disconnected. Used only by the
  * coordinator thread.
  */
 final class RequestCompletion {
@@ -35,7 +36,7 @@
         }
     }
 
-    /** Fails a request that the router has left unanswered until its deadline. */
+    /** Answers a request that the router has left unanswered with an error, and drops it. */
     void failUnanswered(ActiveRequest request) {
         request.exchange().failPermanently();
         dropRequest(request);
--- a/src/main/java/cairnbridge/proxy/StallDetector.java
+++ b/src/main/java/cairnbridge/proxy/StallDetector.java
@@ -21,12 +21,15 @@
         this.idleWakeupTicks = idleWakeupTicks;
     }
 
-    /** Must be called when the thread starts, before its first wait. */
+    /** Starts the measurement. Must be called when the thread starts, before its first wait. */
     void started(long nowTicks) {
         lastWakeupTicks = nowTicks;
     }
 
-    /** Must be called when the thread wakes up after a wait of at most the given time. */
+    /**
+     * Updates the measured stall. Must be called when the thread wakes up after a wait of at most
+     * the given time.
+     */
     void wokeUp(long nowTicks, long maxWaitTicks) {
         long delayTicks = nowTicks - lastWakeupTicks - maxWaitTicks;
         lastWakeupTicks = nowTicks;
--- a/src/main/java/cairnbridge/proxy/UpstreamExchange.java
+++ b/src/main/java/cairnbridge/proxy/UpstreamExchange.java
@@ -49,7 +49,9 @@
         }
     }
 
-    /** The bytes received of a streamed response if more may be read now; else less than 0. */
+    /**
+     * The number of bytes received of a streamed response if more may be read; else less than 0.
+     */
     long streamedBytesIfReadable() {
         return -1;
     }
--- a/src/main/java/cairnbridge/recovery/FleetSnapshot.java
+++ b/src/main/java/cairnbridge/recovery/FleetSnapshot.java
@@ -29,7 +29,7 @@
         return new FleetSnapshot(peers);
     }
 
-    /** The number of live members, including this one. */
+    /** The number of live members whose metadata is known, including this one. */
     int size() {
         return peers.size() + 1;
     }
--- a/src/main/java/cairnbridge/recovery/StateValidator.java
+++ b/src/main/java/cairnbridge/recovery/StateValidator.java
@@ -10,9 +10,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Decides which parts of a persisted state are used. The rules are in the table in {@code
- * docs/design/recovery.md}. Times are Unix times in milliseconds. The lines of the report are part
- * of the answer of the admin call {@code recovery}.
+ * Decides which parts of a persisted state are used. Nothing is used of another cluster's state.
+ * The logged state is used whatever its age; the content of a snapshot only if it is neither too
+ * old nor too far ahead of the clock. {@code docs/design/recovery.md} has a table of the rules.
+ * Times are Unix times in milliseconds. The lines of the report are part of the answer of the admin
+ * call {@code recovery}.
  */
 public final class StateValidator {
     /** The clocks of a fleet's machines may differ by this much, so a snapshot may be ahead. */
--- a/src/main/java/cairnbridge/store/PersistedStateCodec.java
+++ b/src/main/java/cairnbridge/store/PersistedStateCodec.java
@@ -16,8 +16,8 @@
 
 /**
  * Encodes snapshots and log records as CBOR (RFC 8949), each with a format number. Unknown fields,
- * which a newer version of the program may have added, are ignored. Any other format number is
- * rejected, because the meaning of its fields is unknown.
+ * which a newer version of the program may have added, are ignored. A format number other than
+ * {@link #FORMAT} is rejected, because the meaning of its fields is unknown.
  *
  * <p>The nested record classes define the stored format. Their component names are the field names
  * in the files and must not change; some differ from the names in the rest of the code.
--- a/src/main/java/cairnbridge/store/StateStore.java
+++ b/src/main/java/cairnbridge/store/StateStore.java
@@ -259,10 +259,10 @@
         long byteLimitMillis =
                 TimeUnit.SECONDS.toMillis(writeAheadLog.snapshotBytes())
                         / settings.maxSnapshotBytesPerSecond();
-        long interval = Math.max(settings.snapshotIntervalMillis(), byteLimitMillis);
-        long now = TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
-        if (now - snapshotAtMillis >= interval) {
-            snapshotAtMillis = now;
+        long intervalMillis = Math.max(settings.snapshotIntervalMillis(), byteLimitMillis);
+        long nowMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
+        if (nowMillis - snapshotAtMillis >= intervalMillis) {
+            snapshotAtMillis = nowMillis;
             writeSnapshot();
         }
     }
--- a/src/main/java/cairnbridge/store/WriteAheadLog.java
+++ b/src/main/java/cairnbridge/store/WriteAheadLog.java
@@ -76,8 +76,8 @@
         List<String> faults = new ArrayList<>();
         List<NumberedFile> snapshots = newestFirst(SNAPSHOT_PREFIX);
         List<NumberedFile> logs = newestFirst(LOG_PREFIX);
-        snapshots.forEach(this::updateFileNumber);
-        logs.forEach(this::updateFileNumber);
+        snapshots.forEach(this::raiseFileNumberTo);
+        logs.forEach(this::raiseFileNumberTo);
         state = latestSnapshot(snapshots, faults).orElse(state);
         for (int i = logs.size() - 1; i >= 0; i--) {
             replay(logs.get(i).name(), faults);
@@ -86,7 +86,7 @@
         return new Contents(state, faults);
     }
 
-    private void updateFileNumber(NumberedFile file) {
+    private void raiseFileNumberTo(NumberedFile file) {
         fileNumber = Math.max(fileNumber, file.number());
     }
 
--- a/src/main/java/cairnbridge/zones/plan/PlanTransition.java
+++ b/src/main/java/cairnbridge/zones/plan/PlanTransition.java
@@ -82,13 +82,13 @@
         }
     }
 
-    /** Removes a part of the share that a zone's next shares add to another zone. */
-    private void reduceAddedShare(Zone from, TrafficShares shares, Zone to, double part) {
+    /** Removes a fraction of the share that a zone's next shares add to another zone. */
+    private void reduceAddedShare(Zone from, TrafficShares shares, Zone to, double fraction) {
         if (from.equals(to)) {
             return;
         }
         TrafficShares before = present.get(from);
-        double removedShare = part * Math.max(0, shares.shareOf(to) - before.shareOf(to));
+        double removedShare = fraction * Math.max(0, shares.shareOf(to) - before.shareOf(to));
         if (removedShare <= TrafficShares.EPSILON) {
             return;
         }
--- a/src/test/java/cairnbridge/decision/RecordedSettings.java
+++ b/src/test/java/cairnbridge/decision/RecordedSettings.java
@@ -18,9 +18,9 @@
     static final int ORIGIN_KIND = 9;
 
     /**
-     * The setup of one run. The workload is generated from the plain values: the numbers of
-     * categories, tenants, zones, proxies and load report columns, the longest latency objective
-     * and the longest TTL.
+     * The setup of one run. The workload is generated from the seed and the components after {@code
+     * settings}: the numbers of categories, tenants, zones, proxies and load report columns, the
+     * longest latency objective and the longest TTL.
      */
     record RunSetup(
             String name,
--- a/src/test/java/cairnbridge/decision/RouterTest.java
+++ b/src/test/java/cairnbridge/decision/RouterTest.java
@@ -603,8 +603,8 @@
     }
 
     /**
-     * Guards against a proxy that starts after a release and overloads the few caches that are
-     * warm.
+     * Guards against a proxy that starts while most caches have just been restarted with a new
+     * version, and overloads the few that are still warm.
      */
     @Test
     void aNewProxyUsesColdCachesFromItsFirstRequestsOn() {
@@ -620,8 +620,8 @@
     }
 
     /**
-     * Guards against rejected requests during a release, when the latency of cold caches is
-     * mistaken for overload.
+     * Guards against rejected requests while caches are being restarted with a new version, when
+     * the latency of cold caches is mistaken for overload.
      */
     @Test
     void latencyOfColdCachesIsNotOverload() {
--- a/src/test/java/cairnbridge/propagation/PropagationTest.java
+++ b/src/test/java/cairnbridge/propagation/PropagationTest.java
@@ -68,16 +68,16 @@
     private void assertInForceWithin(long span, Position position) {
         assertTrue(
                 net.advanceUntilInForce(position, span) >= 0,
-                () -> "not in force at " + membersNotInForce(position));
+                () -> "not in force at " + membersWithout(position));
     }
 
-    private List<MemberId> membersNotInForce(Position position) {
+    private List<MemberId> membersWithout(Position position) {
         return net.membersWithout(position).stream().map(node -> node.id).toList();
     }
 
     /** Returns the node with the most downstreams. */
-    private SimulatedNode busiest(List<SimulatedNode> among) {
-        return among.stream()
+    private SimulatedNode busiest(List<SimulatedNode> nodes) {
+        return nodes.stream()
                 .max(Comparator.comparingInt(SimulatedNode::downstreams))
                 .orElseThrow();
     }
--- a/src/test/java/cairnbridge/proxy/DiscoveryTest.java
+++ b/src/test/java/cairnbridge/proxy/DiscoveryTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The proxy uses a changed endpoint list within the time limit, whatever calls failed before. */
+/** Mainly: the proxy uses a list change in {@link TimeBudget}'s limit despite failed calls. */
 class DiscoveryTest extends ProxyTestSupport {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
--- a/src/test/java/cairnbridge/proxy/ReloadTest.java
+++ b/src/test/java/cairnbridge/proxy/ReloadTest.java
@@ -49,10 +49,10 @@
 
         config(before, moved.address());
         sendSignal(process, "HUP");
-        long reloaded = System.nanoTime();
+        long signalSentNanos = System.nanoTime();
         waitUntil(() -> !moved.requests.isEmpty());
         waitUntil(() -> readStatus(port) == 200 && !cache.requests.isEmpty());
-        long millis = (System.nanoTime() - reloaded) / 1_000_000;
+        long millis = (System.nanoTime() - signalSentNanos) / 1_000_000;
         assertTrue(millis <= TimeBudget.RELOAD_LIMIT_MILLIS, "in effect after " + millis + " ms");
         int sent = draining.requests.size();
         for (int i = 0; i < READS; i++) {
--- a/src/test/java/cairnbridge/store/WriteAheadLogTest.java
+++ b/src/test/java/cairnbridge/store/WriteAheadLogTest.java
@@ -89,12 +89,12 @@
         WriteAheadLog writeAheadLog = new WriteAheadLog(new FileStorageDirectory(folder), "c");
         writeAheadLog.open();
         writeAheadLog.append(List.of(new WriteAheadLog.Change(LogRecord.Kind.MAINTENANCE_ON, 1L)));
-        Path log = folder.resolve("log-1");
-        int lengthOfFirst = Files.readAllBytes(log).length;
+        Path logFile = folder.resolve("log-1");
+        int lengthOfFirst = Files.readAllBytes(logFile).length;
         writeAheadLog.append(List.of(new WriteAheadLog.Change(LogRecord.Kind.MAINTENANCE_ON, 2L)));
-        byte[] complete = Files.readAllBytes(log);
+        byte[] complete = Files.readAllBytes(logFile);
         for (int length = lengthOfFirst; length < complete.length; length++) {
-            Files.write(log, Arrays.copyOf(complete, length));
+            Files.write(logFile, Arrays.copyOf(complete, length));
             assertEquals(
                     List.of(1L), open().state().logged().nodesInMaintenance(), "torn at " + length);
         }
