--- a/src/main/java/cairnbridge/admin/AdminServer.java
+++ b/src/main/java/cairnbridge/admin/AdminServer.java
@@ -19,7 +19,7 @@
  */
 public final class AdminServer implements Runnable {
     /** The maximum number of open file descriptors, including the listener and the selector. */
-    public static final int MAX_SOCKETS = 36;
+    public static final int MAX_DESCRIPTORS = 36;
 
     private static final Logger LOG = Logger.getLogger(AdminServer.class.getName());
     private static final int MAX_CONNECTIONS = 32;
--- a/src/main/java/cairnbridge/admin/ProxyMetrics.java
+++ b/src/main/java/cairnbridge/admin/ProxyMetrics.java
@@ -85,7 +85,7 @@
     }
 
     /** Counts a request whose client disconnected before the answer; no outcome is counted. */
-    public void clientLeft() {
+    public void requestCancelled() {
         requestsEnded.increment();
     }
 
--- a/src/main/java/cairnbridge/cli/ScalePropagationCommand.java
+++ b/src/main/java/cairnbridge/cli/ScalePropagationCommand.java
@@ -4,9 +4,9 @@
 import cairnbridge.propagation.PropagationSettings;
 import cairnbridge.propagation.simulated.FleetLayout;
 import cairnbridge.propagation.simulated.PropagationRuns;
+import cairnbridge.propagation.simulated.PropagationRuns.Delays;
 import cairnbridge.propagation.simulated.PropagationRuns.Plan;
 import cairnbridge.propagation.simulated.PropagationRuns.Result;
-import cairnbridge.propagation.simulated.PropagationRuns.Spans;
 import cairnbridge.propagation.simulated.PropagationRuns.Traffic;
 import cairnbridge.scale.MeasurementContext;
 import cairnbridge.scale.MeasurementWriter;
@@ -137,23 +137,23 @@
         put(figures, "member_quiet", result.quietMembers());
         put(figures, "member", result.members());
         put(figures, "control", result.controls());
-        figures.put("most_children", result.mostChildren());
+        figures.put("most_children", result.maxDownstreams());
         figures.put("violations", result.violations());
         return figures;
     }
 
-    private static void put(Map<String, Number> figures, String name, Spans spans) {
-        figures.put(name + "_median_seconds", spans.median());
-        figures.put(name + "_99_of_100_seconds", spans.ninetyNine());
-        figures.put(name + "_worst_seconds", spans.worst());
-        figures.put(name + "_never", spans.never());
+    private static void put(Map<String, Number> figures, String name, Delays delays) {
+        figures.put(name + "_median_seconds", delays.median());
+        figures.put(name + "_99_of_100_seconds", delays.percentile99());
+        figures.put(name + "_worst_seconds", delays.worst());
+        figures.put(name + "_never", delays.incomplete());
     }
 
     private static void put(Map<String, Number> figures, String name, Traffic traffic) {
         figures.put(name + "_sent_bytes_per_second", Math.round(traffic.sent()));
-        figures.put(name + "_most_sent_bytes_per_second", Math.round(traffic.mostSent()));
+        figures.put(name + "_most_sent_bytes_per_second", Math.round(traffic.maxSent()));
         figures.put(name + "_received_bytes_per_second", Math.round(traffic.received()));
-        figures.put(name + "_most_received_bytes_per_second", Math.round(traffic.mostReceived()));
+        figures.put(name + "_most_received_bytes_per_second", Math.round(traffic.maxReceived()));
         figures.put(name + "_messages_per_second", traffic.messages());
     }
 
--- a/src/main/java/cairnbridge/propagation/simulated/PropagationRuns.java
+++ b/src/main/java/cairnbridge/propagation/simulated/PropagationRuns.java
@@ -29,7 +29,7 @@
      * @param killRelay whether a relay is killed while each change propagates
      * @param bodyBytes the size of the body of each change
      * @param superseding whether each change replaces all earlier ones
-     * @param every the interval between changes, in ticks
+     * @param publishInterval the interval between changes, in ticks
      */
     public record Plan(
             FleetLayout layout,
@@ -40,18 +40,21 @@
             int changes,
             int bodyBytes,
             boolean superseding,
-            long every,
+            long publishInterval,
             long seed) {}
 
-    /** Percentiles, in seconds, of the spans that completed, and the number that never did. */
-    public record Spans(double median, double ninetyNine, double worst, int never) {
-        static Spans of(List<Long> spans, int expected) {
-            List<Long> sorted = spans.stream().sorted().toList();
-            return new Spans(
+    /**
+     * Percentiles, in seconds, of the delays of changes that completed, and the number that did
+     * not.
+     */
+    public record Delays(double median, double percentile99, double worst, int incomplete) {
+        static Delays of(List<Long> delays, int expected) {
+            List<Long> sorted = delays.stream().sorted().toList();
+            return new Delays(
                     percentile(sorted, 0.5),
                     percentile(sorted, 0.99),
                     percentile(sorted, 1),
-                    expected - spans.size());
+                    expected - delays.size());
         }
 
         private static double percentile(List<Long> sorted, double fraction) {
@@ -68,7 +71,7 @@
      * maximum of one process.
      */
     public record Traffic(
-            double sent, double mostSent, double received, double mostReceived, double messages) {}
+            double sent, double maxSent, double received, double maxReceived, double messages) {}
 
     /**
      * The measurements of one run.
@@ -79,16 +82,16 @@
      * @param quietMembers traffic of the members while no changes are published
      * @param members traffic of the members while changes are published
      * @param controls traffic of the control machines while changes are published
-     * @param mostChildren the maximum number of downstreams of any process at the end
+     * @param maxDownstreams the maximum number of downstreams of any process at the end
      * @param violations the number of violated invariants
      */
     public record Result(
-            Spans inForce,
-            Spans known,
+            Delays inForce,
+            Delays known,
             Traffic quietMembers,
             Traffic members,
             Traffic controls,
-            int mostChildren,
+            int maxDownstreams,
             int violations) {}
 
     private record PendingChange(Position position, long publishedAt) {}
@@ -133,23 +136,23 @@
                 int number = i;
                 net.schedule(KILL_DELAY, () -> killRelay(number));
             }
-            net.advance(plan.every);
+            net.advance(plan.publishInterval);
         }
         long span = net.now() - from;
         Traffic members = traffic(net.members(), before, span);
         Traffic controls = traffic(net.controls(), controlsBefore, span);
         net.advance(FINAL_WAIT);
-        int children =
+        int memberDownstreams =
                 net.runningMembers().stream().mapToInt(SimulatedNode::downstreams).max().orElse(0);
-        int controlChildren =
+        int controlDownstreams =
                 net.controls().stream().mapToInt(SimulatedNode::downstreams).max().orElse(0);
         return new Result(
-                Spans.of(inForceDelays, plan.changes),
-                Spans.of(confirmationDelays, plan.changes),
+                Delays.of(inForceDelays, plan.changes),
+                Delays.of(confirmationDelays, plan.changes),
                 quiet,
                 members,
                 controls,
-                Math.max(children, controlChildren),
+                Math.max(memberDownstreams, controlDownstreams),
                 net.violations.size());
     }
 
--- a/src/main/java/cairnbridge/proxy/DescriptorBudget.java
+++ b/src/main/java/cairnbridge/proxy/DescriptorBudget.java
@@ -51,7 +51,7 @@
 
     /** Creates a budget of which no descriptor is used yet. */
     public DescriptorBudget(ProxyConfig.Network network) {
-        int adminDescriptors = network.admin().isPresent() ? AdminServer.MAX_SOCKETS : 0;
+        int adminDescriptors = network.admin().isPresent() ? AdminServer.MAX_DESCRIPTORS : 0;
         exhaustedLimit = network.maxSockets() - PROCESS_DESCRIPTORS - adminDescriptors;
         keepAliveLimit = (int) (KEEP_ALIVE_SHARE * exhaustedLimit);
         fullLimit = (int) (FULL_SHARE * exhaustedLimit);
--- a/src/main/java/cairnbridge/proxy/ResponseSender.java
+++ b/src/main/java/cairnbridge/proxy/ResponseSender.java
@@ -108,7 +108,7 @@
     void countOutcome(ProxyMetrics metrics, CategoryId category) {
         RequestOutcome counted = outcome;
         if (counted == null) {
-            metrics.clientLeft();
+            metrics.requestCancelled();
         } else {
             metrics.requestEnded(category.value(), counted);
         }
--- a/src/main/java/cairnbridge/recovery/RecoveryCoordinator.java
+++ b/src/main/java/cairnbridge/recovery/RecoveryCoordinator.java
@@ -258,11 +258,12 @@
             persistedListUsed = true;
             host.usePersistedList();
         }
-        boolean timedOut = endpointList.hasList() && now - phaseSince >= settings.quorumTimeout();
+        boolean unconfirmedListDue =
+                endpointList.hasList() && now - phaseSince >= settings.quorumTimeout();
         if (endpointList.isConfirmed() && hasHalfOfFleetFullState()) {
             fleetHasFullState = true;
             enter(RecoveryPhase.SERVE_ALL, "half of the fleet has its full state", now);
-        } else if (endpointList.isConfirmed() || timedOut) {
+        } else if (endpointList.isConfirmed() || unconfirmedListDue) {
             enter(RecoveryPhase.AWAIT_ORIGIN, "endpoint list " + endpointList.status(), now);
         }
     }
--- a/src/test/java/cairnbridge/propagation/PropagationRunsTest.java
+++ b/src/test/java/cairnbridge/propagation/PropagationRunsTest.java
@@ -45,8 +45,8 @@
 
     private static void assertComplete(Result result) {
         assertEquals(0, result.violations());
-        assertEquals(0, result.inForce().never());
-        assertEquals(0, result.known().never());
+        assertEquals(0, result.inForce().incomplete());
+        assertEquals(0, result.known().incomplete());
         assertTrue(result.known().worst() >= result.inForce().worst());
     }
 
--- a/src/test/java/cairnbridge/proxy/CloseRaceTest.java
+++ b/src/test/java/cairnbridge/proxy/CloseRaceTest.java
@@ -198,7 +198,7 @@
                                 .substring(0, unreadBytes)
                                 .getBytes(StandardCharsets.ISO_8859_1));
         disconnect(client, closeKind);
-        waitUntil(() -> cache.endedConnections.get() == 1);
+        waitUntil(() -> cache.closedConnectionCount.get() == 1);
     }
 
     @Test
@@ -209,7 +209,7 @@
         send(client, "GET /view/1", ttlHeader(60_000), "");
         assertEquals('H', client.getInputStream().read());
         disconnect(client, "close");
-        waitUntil(() -> cache.endedConnections.get() == 1);
+        waitUntil(() -> cache.closedConnectionCount.get() == 1);
     }
 
     /**
--- a/src/test/java/cairnbridge/proxy/OperatorsTest.java
+++ b/src/test/java/cairnbridge/proxy/OperatorsTest.java
@@ -198,7 +198,7 @@
         assertTrue(
                 callAdmin("maint-on out").startsWith("200")
                         && callAdmin("maint-on out").startsWith("200"));
-        waitUntil(() -> maintained.endedConnections.get() == maintained.connections.size());
+        waitUntil(() -> maintained.closedConnectionCount.get() == maintained.connections.size());
         waitUntil(() -> hasMetric("hosts_down:1|g"));
         maintained.requests.clear();
         sendUpdate.countDown();
--- a/src/test/java/cairnbridge/proxy/ProxyTest.java
+++ b/src/test/java/cairnbridge/proxy/ProxyTest.java
@@ -166,7 +166,8 @@
                 response);
         long millis = (System.nanoTime() - sentNanos) / 1_000_000;
         assertTrue(millis < 370, "answered after " + millis);
-        waitUntil(() -> cache.endedConnections.get() + origin.endedConnections.get() == 1);
+        waitUntil(
+                () -> cache.closedConnectionCount.get() + origin.closedConnectionCount.get() == 1);
     }
 
     @Test
@@ -177,7 +178,7 @@
         send(client, "GET /view/1", ttlHeader(60_000), "");
         waitUntil(() -> cache.requests.size() == 1);
         client.close();
-        waitUntil(() -> cache.endedConnections.get() == 1);
+        waitUntil(() -> cache.closedConnectionCount.get() == 1);
     }
 
     @Test
@@ -197,7 +198,7 @@
         start();
         sendRequest("GET /view/1", ttlHeader(800), "");
         long answeredNanos = System.nanoTime();
-        waitUntil(() -> cache.endedConnections.get() == 1);
+        waitUntil(() -> cache.closedConnectionCount.get() == 1);
         assertTrue(System.nanoTime() - answeredNanos < 300_000_000L);
     }
 
@@ -225,7 +226,7 @@
             assertEquals(200, statusCode(sendRequest("GET /view/" + key, ttlHeader(800), "")));
         }
         sendUpdate.countDown();
-        waitUntil(() -> leavingNode.endedConnections.get() == leavingNode.connections.size());
+        waitUntil(() -> leavingNode.closedConnectionCount.get() == leavingNode.connections.size());
         for (int key = 0; key < 20; key++) {
             assertEquals(200, statusCode(sendRequest("GET /view/" + key, ttlHeader(800), "")));
         }
@@ -290,7 +291,7 @@
         discoveryHandler = request -> SILENT;
         start();
         waitUntil(() -> discovery.requests.size() == 2);
-        waitUntil(() -> discovery.endedConnections.get() == 1);
+        waitUntil(() -> discovery.closedConnectionCount.get() == 1);
     }
 
     @Test
@@ -532,7 +533,10 @@
         config(endpointListJson(1, true), newDiscovery.address());
         sendSignal(process, "HUP");
         awaitLogLine(log, "discovery is /" + newDiscovery.address());
-        waitUntil(() -> !newDiscovery.requests.isEmpty() && discovery.endedConnections.get() == 1);
+        waitUntil(
+                () ->
+                        !newDiscovery.requests.isEmpty()
+                                && discovery.closedConnectionCount.get() == 1);
         assertTrue(
                 newDiscovery.requests.get(0).startsWith("GET /api/targets?watch=1 "),
                 newDiscovery.requests.get(0));
@@ -601,7 +605,7 @@
         start();
         assertEquals(502, statusCode(sendRequest("PUT /loan/1", ttlHeader(400), "v")));
         assertEquals(1, origin.requests.size());
-        waitUntil(() -> origin.endedConnections.get() == 1);
+        waitUntil(() -> origin.closedConnectionCount.get() == 1);
     }
 
     @ParameterizedTest
@@ -643,7 +647,7 @@
         start();
         assertEquals(200, statusCode(sendRequest("GET /view/1", ttlHeader(900), "")));
         sendUpdate.countDown();
-        waitUntil(() -> cache.endedConnections.get() == 1);
+        waitUntil(() -> cache.closedConnectionCount.get() == 1);
         assertEquals(200, statusCode(sendRequest("GET /view/1", ttlHeader(900), "")));
         assertEquals(2, cache.connections.size());
     }
--- a/src/test/java/cairnbridge/proxy/ProxyTestSupport.java
+++ b/src/test/java/cairnbridge/proxy/ProxyTestSupport.java
@@ -94,7 +94,7 @@
     class StubServer implements AutoCloseable {
         final List<String> requests = new CopyOnWriteArrayList<>();
         final List<Socket> connections = new CopyOnWriteArrayList<>();
-        final AtomicInteger endedConnections = new AtomicInteger();
+        final AtomicInteger closedConnectionCount = new AtomicInteger();
         final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         final StubHandler handler;
         final Thread acceptThread;
@@ -113,7 +113,7 @@
                                                 try {
                                                     return serve(socket);
                                                 } finally {
-                                                    endedConnections.incrementAndGet();
+                                                    closedConnectionCount.incrementAndGet();
                                                 }
                                             });
                                 }
